--- a/packages/oakbase/oakbase/checks.py
+++ b/packages/common/oakramp/common/checks.py
@@ -4,8 +4,8 @@
 
 from schema import And, Optional, Schema, SchemaError
 
-from oakbase.constants import NAME_LIMIT
-from oakbase.verdict import BadRequest, TooLarge
+from oakramp.common.constants import NAME_LIMIT
+from oakramp.common.verdict import BadRequest, TooLarge
 
 
 def is_name(text):
--- a/packages/oakbase/oakbase/env.py
+++ b/packages/common/oakramp/common/env.py
@@ -7,9 +7,9 @@
 
 from schema import And, Optional, Or
 
-from oakbase.checks import NAME, check_fields, one_of, whole
-from oakbase.logline import FORMATS, LEVELS
-from oakbase.verdict import BadRequest, EnvError
+from oakramp.common.checks import NAME, check_fields, one_of, whole
+from oakramp.common.logline import FORMATS, LEVELS
+from oakramp.common.verdict import BadRequest, EnvError
 
 
 def is_address(text):
--- a/packages/oakbase/oakbase/inbox.py
+++ b/packages/common/oakramp/common/inbox.py
@@ -4,8 +4,8 @@
 
 from twisted.internet import defer
 
-from oakbase.tasks import drive
-from oakbase.verdict import Overloaded
+from oakramp.common.tasks import drive
+from oakramp.common.verdict import Overloaded
 
 
 class Inbox:
--- a/packages/oakbase/oakbase/logline.py
+++ b/packages/common/oakramp/common/logline.py
@@ -5,7 +5,7 @@
 import sys
 from datetime import UTC, datetime
 
-from oakbase.constants import LOG_LINE_LIMIT
+from oakramp.common.constants import LOG_LINE_LIMIT
 
 LOGGER_NAME = "oakramp"
 LEVELS = ("info", "debug", "warning", "error")  # the first is the default
--- a/packages/oakbase/oakbase/registry.py
+++ b/packages/common/oakramp/common/registry.py
@@ -1,6 +1,6 @@
 """Plug-ins by entry in a registry."""
 
-from oakbase.verdict import Unknown
+from oakramp.common.verdict import Unknown
 
 
 class Registry:
--- a/packages/oakbase/oakbase/web.py
+++ b/packages/common/oakramp/common/web.py
@@ -6,11 +6,11 @@
 from twisted.protocols import policies
 from twisted.web import resource, server
 
-from oakbase.checks import pack_json, parse_json
-from oakbase.constants import BODY_LIMIT, IDLE_CALLER_TIME, LINGER_TIME, QUIET_TIME
-from oakbase.env import split_address
-from oakbase.tasks import sleep, spawn
-from oakbase.verdict import BadRequest, OakError, Overloaded, TooLarge, Unknown, Verdict
+from oakramp.common.checks import pack_json, parse_json
+from oakramp.common.constants import BODY_LIMIT, IDLE_CALLER_TIME, LINGER_TIME, QUIET_TIME
+from oakramp.common.env import split_address
+from oakramp.common.tasks import sleep, spawn
+from oakramp.common.verdict import BadRequest, OakError, Overloaded, TooLarge, Unknown, Verdict
 
 
 class _Request(server.Request):
--- a/packages/oakcohort/oakcohort/identity.py
+++ b/packages/oakcohort/oakcohort/identity.py
@@ -4,7 +4,7 @@
 
 import json
 
-from oakbase.verdict import RingDamaged
+from oakramp.common.verdict import RingDamaged
 from oakring.ring import RING_PREFIX
 
 IDENTITY_FILE = "identity"
--- a/packages/oakcontrol/oakcontrol/blueprint.py
+++ b/packages/oakcontrol/oakcontrol/blueprint.py
@@ -11,13 +11,20 @@
 
 from schema import And, Optional
 
-from oakbase.checks import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
-from oakbase.constants import BLUEPRINTS_KEPT, ENDS_AFTER_LEAST, ENDS_AFTER_MOST, SLOTS, TIME_LEFT_LIMIT, UNITS_LIMIT
-from oakbase.registry import Registry
-from oakbase.verdict import BadRequest, CannotTell, Conflict, Invalid, Lost, Unknown, Verdict
 from oakcohort.rendezvous import slot_of
 from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, Controller
 from oakcontrol.places import REPLICAS_KEY
+from oakramp.common.checks import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
+from oakramp.common.constants import (
+    BLUEPRINTS_KEPT,
+    ENDS_AFTER_LEAST,
+    ENDS_AFTER_MOST,
+    SLOTS,
+    TIME_LEFT_LIMIT,
+    UNITS_LIMIT,
+)
+from oakramp.common.registry import Registry
+from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, Lost, Unknown, Verdict
 
 BINDING = {
     "kind": one_of("model", "plain"),
--- a/packages/oakcontrol/oakcontrol/claim.py
+++ b/packages/oakcontrol/oakcontrol/claim.py
@@ -10,11 +10,11 @@
 
 from schema import Optional, Or
 
-from oakbase.checks import NAME, check_fields
-from oakbase.constants import CLAIM_KEPT
-from oakbase.verdict import Conflict, InProgress, Refused
 from oakcontrol.admission import NUMBER, is_back, note_back
 from oakcontrol.controllers import CONTROLLERS, Controller
+from oakramp.common.checks import NAME, check_fields
+from oakramp.common.constants import CLAIM_KEPT
+from oakramp.common.verdict import Conflict, InProgress, Refused
 
 ADMISSION = {"print": str, "admission": NAME, "gate": NAME, "number": NUMBER}
 
--- a/packages/oakcontrol/oakcontrol/client.py
+++ b/packages/oakcontrol/oakcontrol/client.py
@@ -4,8 +4,12 @@
 
 from twisted.internet.defer import CancelledError
 
-from oakbase.checks import pack_json
-from oakbase.constants import (
+from oakcontrol.contact import answers_now
+from oakcontrol.controllers import SLOT_SOURCE
+from oakcontrol.moves import OwnerMoves
+from oakcontrol.slots import slot_of_key
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import (
     MAJORITY_DOUBT,
     MAJORITY_WAIT,
     OPERATOR_RETRY,
@@ -14,12 +18,8 @@
     SETTLE_TIME,
     TERM,
 )
-from oakbase.tasks import begin, shielded, sleep, spawn
-from oakbase.verdict import CannotTell, NoAnswer, NotOwner, OakError, Verdict
-from oakcontrol.contact import answers_now
-from oakcontrol.controllers import SLOT_SOURCE
-from oakcontrol.moves import OwnerMoves
-from oakcontrol.slots import slot_of_key
+from oakramp.common.tasks import begin, shielded, sleep, spawn
+from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, Verdict
 
 # Codes of errors that say nothing of the key: no answer came, or it came from who is no owner.
 NO_OWNERS_WORD = frozenset(["noAnswer", "unreachable", "overloaded", "timeSpent", "noMethod", "fenced"])
--- a/packages/oakcontrol/oakcontrol/contact.py
+++ b/packages/oakcontrol/oakcontrol/contact.py
@@ -5,9 +5,9 @@
 longer than any member may stay silent.
 """
 
-from oakbase.constants import CONTACT_GAP, MAJORITY_WAIT, VIEW_AGE
-from oakbase.tasks import quorum_of, within
-from oakbase.verdict import CannotTell, TimeSpent
+from oakramp.common.constants import CONTACT_GAP, MAJORITY_WAIT, VIEW_AGE
+from oakramp.common.tasks import quorum_of, within
+from oakramp.common.verdict import CannotTell, TimeSpent
 
 
 class Contact:
--- a/packages/oakcontrol/oakcontrol/control.py
+++ b/packages/oakcontrol/oakcontrol/control.py
@@ -2,11 +2,6 @@
 
 import time
 
-from oakbase.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
-from oakbase.metrics import Metrics, serve_metrics
-from oakbase.tasks import settled, sleep, spawn
-from oakbase.verdict import OakError
-from oakbase.web import Web
 from oakcontrol import (  # noqa: F401  each enters its controller
     allowance,
     blueprint,
@@ -30,6 +25,11 @@
 from oakcontrol.storeset import StoreSetWatch
 from oakcontrol.voter import Voter
 from oaknews.node import Node
+from oakramp.common.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
+from oakramp.common.metrics import Metrics, serve_metrics
+from oakramp.common.tasks import settled, sleep, spawn
+from oakramp.common.verdict import OakError
+from oakramp.common.web import Web
 from oakring.ring import Ring
 
 
--- a/packages/oakcontrol/oakcontrol/lapse.py
+++ b/packages/oakcontrol/oakcontrol/lapse.py
@@ -5,8 +5,8 @@
 take-over is the ordinary one, with its wait for the former lease: what is found here is a reason to begin, never to skip.
 """
 
-from oakbase.constants import LAPSE_ASK_TIME, LAPSE_LOOK, LEASE_LAPSED, SUSPECT_SILENT
-from oakbase.tasks import Repeater, quorum_of
+from oakramp.common.constants import LAPSE_ASK_TIME, LAPSE_LOOK, LEASE_LAPSED, SUSPECT_SILENT
+from oakramp.common.tasks import Repeater, quorum_of
 
 
 class LapseWatch:
--- a/packages/oakcontrol/oakcontrol/moves.py
+++ b/packages/oakcontrol/oakcontrol/moves.py
@@ -10,10 +10,10 @@
 
 from twisted.internet.defer import Deferred
 
-from oakbase.constants import OWNER_LEFT_PAUSE
-from oakbase.tasks import begin
-from oakbase.verdict import NoAnswer
 from oakcontrol.controllers import SLOT_SOURCE
+from oakramp.common.constants import OWNER_LEFT_PAUSE
+from oakramp.common.tasks import begin
+from oakramp.common.verdict import NoAnswer
 
 
 class OwnerMoves:
--- a/packages/oakcontrol/oakcontrol/owner.py
+++ b/packages/oakcontrol/oakcontrol/owner.py
@@ -6,8 +6,16 @@
 
 from twisted.internet import defer
 
-from oakbase.checks import pack_json
-from oakbase.constants import (
+from oakcohort.members import LIVE
+from oakcohort.rendezvous import ranked
+from oakcontrol.contact import Contact
+from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
+from oakcontrol.preparation import Preparation, is_moving
+from oakcontrol.replication import Offer, SlotProgress, StepBatcher, VoterUpdates
+from oakcontrol.slots import slot_of_key
+from oakcontrol.view import View
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import (
     CALL_TIME,
     CONDITION_AGE,
     CONTROL_BATCH,
@@ -29,17 +37,9 @@
     VIEW_RETRY,
     VOTERS_LOOK,
 )
-from oakbase.inbox import Inbox
-from oakbase.tasks import Repeater, drive, sleep, spawn, within
-from oakbase.verdict import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
-from oakcohort.members import LIVE
-from oakcohort.rendezvous import ranked
-from oakcontrol.contact import Contact
-from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
-from oakcontrol.preparation import Preparation, is_moving
-from oakcontrol.replication import Offer, SlotProgress, StepBatcher, VoterUpdates
-from oakcontrol.slots import slot_of_key
-from oakcontrol.view import View
+from oakramp.common.inbox import Inbox
+from oakramp.common.tasks import Repeater, drive, sleep, spawn, within
+from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
 from oakwire.codec import idl, pack
 
 
--- a/packages/oakcontrol/oakcontrol/placement.py
+++ b/packages/oakcontrol/oakcontrol/placement.py
@@ -10,8 +10,13 @@
 
 from schema import And
 
-from oakbase.checks import NAME, check_fields, one_of, pack_json, whole
-from oakbase.constants import (
+from oakcontrol.controllers import CONTROLLERS, Controller
+from oakcontrol.duty import Duty
+from oakcontrol.places import REPLICAS_KEY
+from oakprefix.decision import Decision
+from oakprefix.detector import Window
+from oakramp.common.checks import NAME, check_fields, one_of, pack_json, whole
+from oakramp.common.constants import (
     EVICTION_ROUND,
     FINDINGS_SHOWN,
     TENANT_ID_LIMIT,
@@ -19,12 +24,7 @@
     TENANTS_NAMED,
     TENANTS_TOLD,
 )
-from oakbase.env import EVICTION_MODES, eviction_mode
-from oakcontrol.controllers import CONTROLLERS, Controller
-from oakcontrol.duty import Duty
-from oakcontrol.places import REPLICAS_KEY
-from oakprefix.decision import Decision
-from oakprefix.detector import Window
+from oakramp.common.env import EVICTION_MODES, eviction_mode
 
 PLACEMENT_KEY = "placement"
 ROWS = f"{PLACEMENT_KEY}#"
--- a/packages/oakcontrol/oakcontrol/places.py
+++ b/packages/oakcontrol/oakcontrol/places.py
@@ -2,11 +2,11 @@
 
 from schema import Optional, Or
 
-from oakbase.checks import NAME, check_fields, faults_of, one_of, pack_json, whole
-from oakbase.constants import NAME_LIMIT
-from oakbase.env import ADDRESS
-from oakbase.verdict import BadRequest, Unknown
 from oakcontrol.controllers import CONTROLLERS, Controller
+from oakramp.common.checks import NAME, check_fields, faults_of, one_of, pack_json, whole
+from oakramp.common.constants import NAME_LIMIT
+from oakramp.common.env import ADDRESS
+from oakramp.common.verdict import BadRequest, Unknown
 
 REPLICAS_KEY = "replicas"
 LABEL = Or(
--- a/packages/oakcontrol/oakcontrol/platform.py
+++ b/packages/oakcontrol/oakcontrol/platform.py
@@ -16,8 +16,10 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oakbase.checks import pack_json, parse_json
-from oakbase.constants import (
+from oakcontrol.duty import Duty
+from oakcontrol.places import REPLICAS_KEY, readable
+from oakramp.common.checks import pack_json, parse_json
+from oakramp.common.constants import (
     PLATFORM_BACKOFF,
     PLATFORM_BOUND_SHARE,
     PLATFORM_CALL,
@@ -30,11 +32,9 @@
     PLATFORM_TICKS,
     PLATFORM_TIME,
 )
-from oakbase.fetch import WebClient
-from oakbase.tasks import quorum_of, shielded, sleep, within
-from oakbase.verdict import CannotTell, OakError, PlatformAway
-from oakcontrol.duty import Duty
-from oakcontrol.places import REPLICAS_KEY, readable
+from oakramp.common.fetch import WebClient
+from oakramp.common.tasks import quorum_of, shielded, sleep, within
+from oakramp.common.verdict import CannotTell, OakError, PlatformAway
 
 TOO_OFTEN = 429
 STATES = ("ready", "leaving")
--- a/packages/oakcontrol/oakcontrol/preparation.py
+++ b/packages/oakcontrol/oakcontrol/preparation.py
@@ -2,10 +2,10 @@
 
 from sortedcontainers import SortedDict
 
-from oakbase.constants import CALL_TIME, TERM, TERM_RENEW
-from oakbase.tasks import quorum_of, sleep
-from oakbase.verdict import CannotTell, Fenced
 from oakcontrol.former import FormerTerms
+from oakramp.common.constants import CALL_TIME, TERM, TERM_RENEW
+from oakramp.common.tasks import quorum_of, sleep
+from oakramp.common.verdict import CannotTell, Fenced
 
 
 def is_moving(error):
--- a/packages/oakcontrol/oakcontrol/replication.py
+++ b/packages/oakcontrol/oakcontrol/replication.py
@@ -12,10 +12,17 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import CALL_TIME, IMAGE_PART, OUTRANKED_PATIENCE, STEP_PAUSE, UNANSWERED_STEPS, UPDATE_LIMIT
-from oakbase.tasks import spawn, within
-from oakbase.verdict import CannotTell, NoAnswer, NotOwner, OakError
 from oakcontrol.slots import ENTRY_COST, in_parts
+from oakramp.common.constants import (
+    CALL_TIME,
+    IMAGE_PART,
+    OUTRANKED_PATIENCE,
+    STEP_PAUSE,
+    UNANSWERED_STEPS,
+    UPDATE_LIMIT,
+)
+from oakramp.common.tasks import spawn, within
+from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError
 from oakwire.codec import idl
 
 
--- a/packages/oakcontrol/oakcontrol/roster.py
+++ b/packages/oakcontrol/oakcontrol/roster.py
@@ -27,8 +27,11 @@
 
 from schema import And
 
-from oakbase.checks import NAME, check_fields, pack_json, whole
-from oakbase.constants import (
+from oakcohort.members import LIVE
+from oakcontrol.controllers import CONTROLLERS, Controller
+from oakcontrol.duty import Duty
+from oakramp.common.checks import NAME, check_fields, pack_json, whole
+from oakramp.common.constants import (
     CALL_TIME,
     CONDITION_AGE,
     ROSTER_ANSWERED,
@@ -40,12 +43,9 @@
     ROSTER_PAUSE,
     SLOTS,
 )
-from oakbase.env import ADDRESS
-from oakbase.tasks import quorum_of, sleep, spawn
-from oakbase.verdict import CannotTell, Conflict, Lost, Refused, Unknown
-from oakcohort.members import LIVE
-from oakcontrol.controllers import CONTROLLERS, Controller
-from oakcontrol.duty import Duty
+from oakramp.common.env import ADDRESS
+from oakramp.common.tasks import quorum_of, sleep, spawn
+from oakramp.common.verdict import CannotTell, Conflict, Lost, Refused, Unknown
 
 ROSTER_KEY = "roster"
 MEMBER = {"nodeId": NAME, "peer": ADDRESS}
--- a/packages/oakcontrol/oakcontrol/routing.py
+++ b/packages/oakcontrol/oakcontrol/routing.py
@@ -23,11 +23,11 @@
 
 from schema import Optional
 
-from oakbase.checks import NAME, check_fields, whole
-from oakbase.constants import CHANGES_REMEMBERED
-from oakbase.verdict import CannotTell, Invalid, Lost, Verdict
 from oakcontrol.controllers import CONTROLLERS, Controller
 from oakcontrol.slots import pack_entry, unpack_entry
+from oakramp.common.checks import NAME, check_fields, whole
+from oakramp.common.constants import CHANGES_REMEMBERED
+from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
 
 ROUTING_KEY = "routing"
 VERSION = whole(0, 1 << 53)
--- a/packages/oakcontrol/oakcontrol/storeset.py
+++ b/packages/oakcontrol/oakcontrol/storeset.py
@@ -31,8 +31,11 @@
 
 from schema import And, Optional
 
-from oakbase.checks import NAME, check_fields, pack_json, whole
-from oakbase.constants import (
+from oakcohort.members import LEAVING, LIVE
+from oakcontrol.controllers import CONTROLLERS, Controller
+from oakcontrol.duty import Duty
+from oakramp.common.checks import NAME, check_fields, pack_json, whole
+from oakramp.common.constants import (
     CALL_TIME,
     CONDITION_AGE,
     MEMBER_ANSWERED,
@@ -45,12 +48,9 @@
     STORES_MOVING_PAUSE,
     STORES_PATIENCE,
 )
-from oakbase.env import ADDRESS
-from oakbase.tasks import quorum_of, settled, sleep
-from oakbase.verdict import CannotTell, Conflict, Fenced, Lost, OakError, Refused, Unknown
-from oakcohort.members import LEAVING, LIVE
-from oakcontrol.controllers import CONTROLLERS, Controller
-from oakcontrol.duty import Duty
+from oakramp.common.env import ADDRESS
+from oakramp.common.tasks import quorum_of, settled, sleep
+from oakramp.common.verdict import CannotTell, Conflict, Fenced, Lost, OakError, Refused, Unknown
 
 STORES_KEY = "storeset"
 STORE = {"nodeId": NAME, "peer": ADDRESS}
--- a/packages/oakcontrol/oakcontrol/voter.py
+++ b/packages/oakcontrol/oakcontrol/voter.py
@@ -8,13 +8,13 @@
 
 from sortedcontainers import SortedDict
 
-from oakbase.checks import pack_json
-from oakbase.constants import CONTROL_FULL, CONTROL_INBOX, IMAGE_PART, SLOT_FULL, SLOTS, TERM
-from oakbase.inbox import TableOwner
-from oakbase.tasks import spawn
-from oakbase.verdict import Fenced, RingFull
 from oakcontrol.roster import Roster
 from oakcontrol.slots import ENTRY_COST, in_parts
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import CONTROL_FULL, CONTROL_INBOX, IMAGE_PART, SLOT_FULL, SLOTS, TERM
+from oakramp.common.inbox import TableOwner
+from oakramp.common.tasks import spawn
+from oakramp.common.verdict import Fenced, RingFull
 from oakwire.codec import idl, unpack
 
 
--- a/packages/oakctl/oakctl/doctor.py
+++ b/packages/oakctl/oakctl/doctor.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from oakbase.registry import Registry
+from oakramp.common.registry import Registry
 
 CHECKS = Registry("check")
 WARNING, FAULT = "warning", "fault"
--- a/packages/oakgate/oakgate/balancer.py
+++ b/packages/oakgate/oakgate/balancer.py
@@ -15,7 +15,10 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import (
+from oakcohort.rendezvous import score
+from oakcontrol.places import REPLICAS_KEY
+from oakgate.outliers import Outliers
+from oakramp.common.constants import (
     AFFINITY_SLACK,
     BALANCER_QUEUE,
     EJECT_AFTER,
@@ -27,11 +30,8 @@
     RETRY_AFTER_LEAST,
     SHED_PAUSE,
 )
-from oakbase.tasks import within
-from oakbase.verdict import Overloaded, TimeSpent
-from oakcohort.rendezvous import score
-from oakcontrol.places import REPLICAS_KEY
-from oakgate.outliers import Outliers
+from oakramp.common.tasks import within
+from oakramp.common.verdict import Overloaded, TimeSpent
 
 
 @dataclass
--- a/packages/oakgate/oakgate/base.py
+++ b/packages/oakgate/oakgate/base.py
@@ -2,12 +2,12 @@
 
 import itertools
 
-from oakbase.constants import RETRY_AFTER, SETTLE_INBOX
-from oakbase.metrics import Metrics
-from oakbase.tasks import sleep, spawn
-from oakbase.verdict import Overloaded
 from oakcontrol.client import OwnerClient
 from oaknews.node import Node
+from oakramp.common.constants import RETRY_AFTER, SETTLE_INBOX
+from oakramp.common.metrics import Metrics
+from oakramp.common.tasks import sleep, spawn
+from oakramp.common.verdict import Overloaded
 
 SETTLED_LOOK = 0.1  # s; how often a stopping gate looks whether everything is settled
 
--- a/packages/oakgate/oakgate/fresh_news.py
+++ b/packages/oakgate/oakgate/fresh_news.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import FRESH_POLL, FRESH_PULL
+from oakramp.common.constants import FRESH_POLL, FRESH_PULL
 
 
 class FreshNews:
--- a/packages/oakgate/oakgate/gate.py
+++ b/packages/oakgate/oakgate/gate.py
@@ -2,16 +2,16 @@
 
 import time
 
-from oakbase.constants import ACCEPT_INBOX, SETTLE_TIME
-from oakbase.fetch import WebClient
-from oakbase.metrics import serve_metrics
-from oakbase.web import Web
 from oakgate.base import GateBase
 from oakgate.bindings import Bindings
 from oakgate.carry import Carrier
 from oakgate.placer import Placer
 from oakgate.plain import Plain
 from oakgate.turns import Turns
+from oakramp.common.constants import ACCEPT_INBOX, SETTLE_TIME
+from oakramp.common.fetch import WebClient
+from oakramp.common.metrics import serve_metrics
+from oakramp.common.web import Web
 from oakstore.lines import LineClient
 
 
--- a/packages/oakgate/oakgate/outliers.py
+++ b/packages/oakgate/oakgate/outliers.py
@@ -12,7 +12,8 @@
 import json
 from collections import deque
 
-from oakbase.constants import (
+from oaknews.puller import NODE_SOURCE
+from oakramp.common.constants import (
     LATE_LEAST,
     LATE_LOOK,
     LATE_STEP,
@@ -24,7 +25,6 @@
     OUTLIER_TELL,
     OUTLIER_WINDOW,
 )
-from oaknews.puller import NODE_SOURCE
 
 FAULTS = "faults"  # the item of a gate's row in the news
 
--- a/packages/oakgate/oakgate/placement.py
+++ b/packages/oakgate/oakgate/placement.py
@@ -6,11 +6,11 @@
 
 import json
 
-from oakbase.constants import CALL_TIME, EVICTION_ROUND, PLAN_AGE, PRESSURE_LATE
-from oakbase.env import eviction_mode
-from oakbase.tasks import Repeater
 from oakcontrol.placement import PLACEMENT_KEY
 from oakprefix.counters import TenantCounters, tenant_of
+from oakramp.common.constants import CALL_TIME, EVICTION_ROUND, PLAN_AGE, PRESSURE_LATE
+from oakramp.common.env import eviction_mode
+from oakramp.common.tasks import Repeater
 
 
 class Placement:
--- a/packages/oakgate/oakgate/placer.py
+++ b/packages/oakgate/oakgate/placer.py
@@ -7,7 +7,8 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import (
+from oakcohort.rendezvous import ranked
+from oakramp.common.constants import (
     CONTENDED_SHARE,
     DESCRIBE_PAUSE,
     DESCRIBE_TIME,
@@ -18,9 +19,8 @@
     RETRY_AFTER,
     WEIGHT_BOUND,
 )
-from oakbase.tasks import Repeater, spawn, within
-from oakbase.verdict import OakError, Overloaded, Rebound, TimeSpent, Unknown
-from oakcohort.rendezvous import ranked
+from oakramp.common.tasks import Repeater, spawn, within
+from oakramp.common.verdict import OakError, Overloaded, Rebound, TimeSpent, Unknown
 
 URGENCY = {"urgent": 0, "normal": 1, "patient": 2}
 DESCRIBED_AGE = 5 * DESCRIBE_PAUSE  # s; a description older than this says nothing about the weight
--- a/packages/oakgate/oakgate/plain.py
+++ b/packages/oakgate/oakgate/plain.py
@@ -4,10 +4,10 @@
 
 from schema import Optional, Or
 
-from oakbase.checks import NAME, check_fields, pack_json, seconds
-from oakbase.constants import CALL_TIME, CLAIM_ANSWER_LIMIT, CLAIM_LEAVE, TIME_LEFT_LIMIT
-from oakbase.verdict import Broken, Conflict, NoAnswer, OakError, Overloaded, TimeSpent, Verdict
 from oakgate.request import Request, chain, print_of
+from oakramp.common.checks import NAME, check_fields, pack_json, seconds
+from oakramp.common.constants import CALL_TIME, CLAIM_ANSWER_LIMIT, CLAIM_LEAVE, TIME_LEFT_LIMIT
+from oakramp.common.verdict import Broken, Conflict, NoAnswer, OakError, Overloaded, TimeSpent, Verdict
 
 PLAIN = {
     Optional("key"): Or(None, NAME, error="must be a name"),
--- a/packages/oakgate/oakgate/relay.py
+++ b/packages/oakgate/oakgate/relay.py
@@ -8,15 +8,15 @@
 passed on to its end or its connection is closed.
 """
 
-from oakbase.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_LEAST
-from oakbase.tasks import spawn
-from oakbase.verdict import BadRequest, CannotTell, OakError, Unknown, Verdict
 from oakgate.fresh_news import FreshNews
 from oakgate.passage import Passage, check_caller, may_repeat
 from oakgate.relay_answers import Answers
 from oakgate.relay_carrier import Carrier
 from oakgate.relay_keys import KeyedCalls
 from oakgate.relay_streams import Streams
+from oakramp.common.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_LEAST
+from oakramp.common.tasks import spawn
+from oakramp.common.verdict import BadRequest, CannotTell, OakError, Unknown, Verdict
 
 
 class Relay:
--- a/packages/oakgate/oakgate/relay_carrier.py
+++ b/packages/oakgate/oakgate/relay_carrier.py
@@ -9,7 +9,18 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import (
+from oakgate.balancer import Wish
+from oakgate.passage import (
+    CallerGone,
+    check_caller,
+    may_repeat,
+    remaining,
+    remaining_run,
+    stops_with_caller,
+    when_gone,
+)
+from oakprefix.counters import tenant_of
+from oakramp.common.constants import (
     CALL_TIME,
     PATIENCE_SHARE,
     PLACEMENT_PATIENCE,
@@ -18,8 +29,8 @@
     STALLED_SHARE,
     STALLED_TIMES,
 )
-from oakbase.tasks import begin, spawn, within
-from oakbase.verdict import (
+from oakramp.common.tasks import begin, spawn, within
+from oakramp.common.verdict import (
     Broken,
     NoAnswer,
     OakError,
@@ -30,17 +41,6 @@
     Unreachable,
     Verdict,
 )
-from oakgate.balancer import Wish
-from oakgate.passage import (
-    CallerGone,
-    check_caller,
-    may_repeat,
-    remaining,
-    remaining_run,
-    stops_with_caller,
-    when_gone,
-)
-from oakprefix.counters import tenant_of
 
 
 class Carrier:
--- a/packages/oakgate/oakgate/relay_keys.py
+++ b/packages/oakgate/oakgate/relay_keys.py
@@ -2,10 +2,10 @@
 
 import base64
 
-from oakbase.constants import CLAIM_ANSWER_LIMIT, CLAIM_LEAVE
-from oakbase.tasks import shielded, within
-from oakbase.verdict import BadRequest, CannotTell, InProgress, NoAnswer, OakError, Refused, Verdict
 from oakgate.passage import print_of, remaining
+from oakramp.common.constants import CLAIM_ANSWER_LIMIT, CLAIM_LEAVE
+from oakramp.common.tasks import shielded, within
+from oakramp.common.verdict import BadRequest, CannotTell, InProgress, NoAnswer, OakError, Refused, Verdict
 
 
 class KeyedCalls:
--- a/packages/oakgate/oakgate/relay_node.py
+++ b/packages/oakgate/oakgate/relay_node.py
@@ -3,7 +3,13 @@
 import time
 from dataclasses import dataclass
 
-from oakbase.constants import (
+from oakcontrol.places import REPLICAS_KEY
+from oakgate.balancer import Balancer
+from oakgate.base import GateBase
+from oakgate.placement import Placement
+from oakgate.relay import Relay
+from oakgate.routing import Router
+from oakramp.common.constants import (
     ACCEPT_INBOX,
     BODY_LIMIT,
     IDLE_CALLER_TIME,
@@ -13,16 +19,10 @@
     RETRY_AFTER_LEAST,
     SETTLE_TIME,
 )
-from oakbase.metrics import serve_metrics
-from oakbase.tasks import sleep
-from oakbase.verdict import CannotTell, Overloaded
-from oakbase.web import Web
-from oakcontrol.places import REPLICAS_KEY
-from oakgate.balancer import Balancer
-from oakgate.base import GateBase
-from oakgate.placement import Placement
-from oakgate.relay import Relay
-from oakgate.routing import Router
+from oakramp.common.metrics import serve_metrics
+from oakramp.common.tasks import sleep
+from oakramp.common.verdict import CannotTell, Overloaded
+from oakramp.common.web import Web
 from oakrelay.front import Front
 from oakrelay.upstream import Upstreams
 from oakstore.turns import TurnClient
--- a/packages/oakgate/oakgate/relay_streams.py
+++ b/packages/oakgate/oakgate/relay_streams.py
@@ -4,10 +4,10 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import FULL_RETRY, PATIENCE_SHARE, TURN_OUTPUT_LIMIT
-from oakbase.verdict import Broken, BudgetEmpty, CannotTell, NoAnswer, OakError, Overloaded
 from oakgate.passage import print_of, remaining
 from oakgate.settler import Settler
+from oakramp.common.constants import FULL_RETRY, PATIENCE_SHARE, TURN_OUTPUT_LIMIT
+from oakramp.common.verdict import Broken, BudgetEmpty, CannotTell, NoAnswer, OakError, Overloaded
 from oakstore.turns import Record
 
 
--- a/packages/oakgate/oakgate/request.py
+++ b/packages/oakgate/oakgate/request.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from oakbase.checks import pack_json
-from oakbase.constants import RUN_SHARE, TIME_LEFT_DEFAULT
-from oakbase.verdict import Rebound, TimeSpent
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import RUN_SHARE, TIME_LEFT_DEFAULT
+from oakramp.common.verdict import Rebound, TimeSpent
 
 
 @dataclass
--- a/packages/oakgate/oakgate/routing.py
+++ b/packages/oakgate/oakgate/routing.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from oakbase.constants import ROUTING_AGE, ROUTING_STRETCH
 from oakcontrol.routing import ROUTING_KEY, document_of, host_of
 from oakcontrol.slots import unpack_entry
+from oakramp.common.constants import ROUTING_AGE, ROUTING_STRETCH
 
 
 @dataclass(frozen=True)
--- a/packages/oakgate/oakgate/settler.py
+++ b/packages/oakgate/oakgate/settler.py
@@ -1,7 +1,7 @@
 """What came out of turns, told to their budgets' owners."""
 
-from oakbase.constants import SETTLE_PAUSE
-from oakbase.tasks import sleep
+from oakramp.common.constants import SETTLE_PAUSE
+from oakramp.common.tasks import sleep
 
 
 class Settler:
--- a/packages/oakgate/oakgate/stream.py
+++ b/packages/oakgate/oakgate/stream.py
@@ -6,10 +6,10 @@
 
 import json
 
-from oakbase.checks import pack_json
-from oakbase.constants import IDLE_TIME, OUTPUT_LIMIT
-from oakbase.tasks import within
-from oakbase.verdict import Broken
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import IDLE_TIME, OUTPUT_LIMIT
+from oakramp.common.tasks import within
+from oakramp.common.verdict import Broken
 
 
 class RunReader:
--- a/packages/oakgate/oakgate/turns.py
+++ b/packages/oakgate/oakgate/turns.py
@@ -3,11 +3,22 @@
 from schema import And, Optional, Or
 from twisted.internet.defer import ensureDeferred
 
-from oakbase.checks import NAME, check_fields, seconds, whole
-from oakbase.constants import CALL_TIME, FULL_RETRY, PIECE_LIMIT, SETTLE_TIME, SETTLE_WAIT, TIME_LEFT_LIMIT, UNITS_LIMIT
-from oakbase.fetch import BodyLines
-from oakbase.tasks import settled, shielded, within
-from oakbase.verdict import (
+from oakgate.carry import refusal_of
+from oakgate.request import Request, chain, print_of, terms_of
+from oakgate.stream import CallerStream, RunReader
+from oakramp.common.checks import NAME, check_fields, seconds, whole
+from oakramp.common.constants import (
+    CALL_TIME,
+    FULL_RETRY,
+    PIECE_LIMIT,
+    SETTLE_TIME,
+    SETTLE_WAIT,
+    TIME_LEFT_LIMIT,
+    UNITS_LIMIT,
+)
+from oakramp.common.fetch import BodyLines
+from oakramp.common.tasks import settled, shielded, within
+from oakramp.common.verdict import (
     Broken,
     BudgetEmpty,
     Conflict,
@@ -19,9 +30,6 @@
     TimeSpent,
     Verdict,
 )
-from oakgate.carry import refusal_of
-from oakgate.request import Request, chain, print_of, terms_of
-from oakgate.stream import CallerStream, RunReader
 
 TURN = {
     "turnId": NAME,
--- a/packages/oaklab/oaklab/caller.py
+++ b/packages/oaklab/oaklab/caller.py
@@ -3,11 +3,11 @@
 import json
 from dataclasses import dataclass, field
 
-from oakbase.checks import pack_json
-from oakbase.constants import PIECE_LIMIT
-from oakbase.fetch import BodyLines
-from oakbase.tasks import settled, sleep, within
-from oakbase.verdict import NoAnswer, OakError, Verdict
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import PIECE_LIMIT
+from oakramp.common.fetch import BodyLines
+from oakramp.common.tasks import settled, sleep, within
+from oakramp.common.verdict import NoAnswer, OakError, Verdict
 
 ATTEMPTS = 8  # times; a caller asks again for one request at most so often
 ATTEMPT_PAUSE = 0.5  # s; between two of them
--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/oaklab/oaklab/capacity.py
@@ -16,11 +16,6 @@
 
 from sortedcontainers import SortedDict
 
-from oakbase.checks import pack_json
-from oakbase.constants import ALLOWANCE_CLOSED
-from oakbase.logline import LogLine
-from oakbase.registry import Registry
-from oakbase.tasks import settled, spawn
 from oakcohort.members import SILENT, Member
 from oakcontrol.client import OwnerClient
 from oakcontrol.controllers import CONTROLLERS
@@ -35,6 +30,11 @@
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oaknews.board import Board
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import ALLOWANCE_CLOSED
+from oakramp.common.logline import LogLine
+from oakramp.common.registry import Registry
+from oakramp.common.tasks import settled, spawn
 from oakring.ring import Ring
 from oakstore.table import LineTable
 from oakwire.codec import idl, pack, unpack
--- a/packages/oaklab/oaklab/checker.py
+++ b/packages/oaklab/oaklab/checker.py
@@ -7,8 +7,8 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from oakbase.registry import Registry
 from oaklab.linearizability import Answer, Order, Read, Try, check_history
+from oakramp.common.registry import Registry
 
 RULES = Registry("rule")
 KEY_TIME = 60.0  # s; the brief's minute for keys and for earlier turns
--- a/packages/oaklab/oaklab/commands.py
+++ b/packages/oaklab/oaklab/commands.py
@@ -11,9 +11,6 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakbase.logline import stderr_sink
-from oakbase.tasks import monotonic_reactor, settled, sleep, spawn
-from oakbase.verdict import OakError
 from oakcontrol.client import OwnerClient
 from oakcontrol.slots import slot_of_key
 from oaklab.fleet import Fleet
@@ -21,6 +18,9 @@
 from oaklab.simfleet import SimFleet
 from oaklab.work import calls_of
 from oaknews.node import Node
+from oakramp.common.logline import stderr_sink
+from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
+from oakramp.common.verdict import OakError
 
 TICKS = os.sysconf("SC_CLK_TCK")
 CLIENT = Machine("bench0", "gate", "zone0", f"{NETWORK}.240.1")
--- a/packages/oaklab/oaklab/eviction.py
+++ b/packages/oaklab/oaklab/eviction.py
@@ -9,13 +9,6 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from oakbase.checks import pack_json
-from oakbase.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
-from oakbase.logline import LogLine
-from oakbase.metrics import Metrics
-from oakbase.registry import Registry
-from oakbase.tasks import sleep, spawn
-from oakbase.verdict import OakError
 from oakcohort.rendezvous import score
 from oakcontrol.placement import PLACEMENT_KEY
 from oakcontrol.places import REPLICAS_KEY
@@ -28,6 +21,13 @@
 from oakprefix.decision import Decision
 from oakprefix.detector import Load, Window
 from oakprefix.planner import plan_of
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
+from oakramp.common.logline import LogLine
+from oakramp.common.metrics import Metrics
+from oakramp.common.registry import Registry
+from oakramp.common.tasks import sleep, spawn
+from oakramp.common.verdict import OakError
 
 SERVICE = "lm"
 ZONES = ("za", "zb", "zc")
--- a/packages/oaklab/oaklab/explore/clock.py
+++ b/packages/oaklab/oaklab/explore/clock.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from oakbase.constants import STEP_PAUSE
+from oakramp.common.constants import STEP_PAUSE
 
 
 class Timer:
--- a/packages/oaklab/oaklab/explore/history.py
+++ b/packages/oaklab/oaklab/explore/history.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from oakbase.verdict import Invalid, Lost, Verdict
+from oakramp.common.verdict import Invalid, Lost, Verdict
 
 
 @dataclass
--- a/packages/oaklab/oaklab/explore/network.py
+++ b/packages/oaklab/oaklab/explore/network.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass, field
 
-from oakbase.tasks import begin
-from oakbase.verdict import NoAnswer, OakError, Unreachable
+from oakramp.common.tasks import begin
+from oakramp.common.verdict import NoAnswer, OakError, Unreachable
 from oakwire.codec import arguments_class
 from oakwire.net import Net
 from twisted.internet import defer
--- a/packages/oaklab/oaklab/explore/process.py
+++ b/packages/oaklab/oaklab/explore/process.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from oakbase.tasks import spawn
+from oakramp.common.tasks import spawn
 from oakcohort.members import LIVE, SILENT
 from oakcontrol import owner as owner_module
 from oakcontrol import roster as roster_module
--- a/packages/oaklab/oaklab/explore/world.py
+++ b/packages/oaklab/oaklab/explore/world.py
@@ -4,8 +4,8 @@
 import random
 from dataclasses import dataclass
 
-from oakbase.checks import pack_json
-from oakbase.verdict import OakError
+from oakramp.common.checks import pack_json
+from oakramp.common.verdict import OakError
 from oakcontrol.roster import ROSTER_KEY, Roster
 from oakcontrol.routing import ROUTING_KEY
 from oakwire.codec import arguments_class
--- a/packages/oaklab/oaklab/faults.py
+++ b/packages/oaklab/oaklab/faults.py
@@ -6,10 +6,10 @@
 
 from collections import Counter
 
-from oakbase.registry import Registry
-from oakbase.tasks import settled, sleep, spawn
-from oakbase.verdict import RingDamaged
 from oaklab.plan import PARTNERS, PLATFORM, blueprint_of
+from oakramp.common.registry import Registry
+from oakramp.common.tasks import settled, sleep, spawn
+from oakramp.common.verdict import RingDamaged
 
 FAULTS = Registry("fault")
 
--- a/packages/oaklab/oaklab/main.py
+++ b/packages/oaklab/oaklab/main.py
@@ -13,9 +13,6 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakbase.logline import LogLine, stderr_sink
-from oakbase.tasks import monotonic_reactor, settled
-from oakbase.verdict import Unknown
 from oaklab.capacity import SLOPES
 from oaklab.checker import cut_off
 from oaklab.explore.command import explore
@@ -27,6 +24,9 @@
 from oaklab.standin import build_standins
 from oaklab.takeout import try_all
 from oaklab.trial import DAYS, run_day, run_trial
+from oakramp.common.logline import LogLine, stderr_sink
+from oakramp.common.tasks import monotonic_reactor, settled
+from oakramp.common.verdict import Unknown
 
 SIZE = click.option(
     "--size",
--- a/packages/oaklab/oaklab/measure.py
+++ b/packages/oaklab/oaklab/measure.py
@@ -3,8 +3,6 @@
 from collections import Counter
 from itertools import count
 
-from oakbase.registry import Registry
-from oakbase.tasks import settled, sleep, spawn
 from oaklab.commands import count_work, measure_commands
 from oaklab.eviction import measure_eviction
 from oaklab.failover import measure_failover
@@ -12,6 +10,8 @@
 from oaklab.plan import PARTNERS, Size, blueprint_of
 from oaklab.simfleet import SimFleet
 from oaklab.work import loading_time, owner_work, store_work
+from oakramp.common.registry import Registry
+from oakramp.common.tasks import settled, sleep, spawn
 from oakwire.codec import idl, pack
 
 MEASURES = Registry("measure")
--- a/packages/oaklab/oaklab/outages.py
+++ b/packages/oaklab/oaklab/outages.py
@@ -1,13 +1,13 @@
 """Everything goes at once, in several ways. Each is a function of a fleet that runs; it gives the time at which
 everything is back that comes back."""
 
-from oakbase.constants import CONTROL_FULL, STORE_FULL
-from oakbase.registry import Registry
-from oakbase.tasks import settled, spawn
 from oaklab.faults import arm, replace
 from oaklab.plan import PARTNERS
 from oaklab.simfleet import SimFleet
 from oaklab.trial import probe, served_again, total_outage
+from oakramp.common.constants import CONTROL_FULL, STORE_FULL
+from oakramp.common.registry import Registry
+from oakramp.common.tasks import settled, spawn
 
 OUTAGES = Registry("outage")
 SMALL_RING = 1 << 16  # bytes; of a ring's file, so that the whole is soon full
--- a/packages/oaklab/oaklab/powerloss.py
+++ b/packages/oaklab/oaklab/powerloss.py
@@ -10,10 +10,10 @@
 import random
 import sys
 
-from oakbase.logline import LogLine
-from oakbase.verdict import OakError, RingFull
 from oaklab.simdisk import PowerLost, SimDisk
 from oaklab.simnet import SimHost, SimNetwork, SimTime
+from oakramp.common.logline import LogLine
+from oakramp.common.verdict import OakError, RingFull
 from oakring.ring import Ring
 
 KEYS = 5, 10, 40, 120  # keys that the commits of a ring write to; with many of them it runs full
--- a/packages/oaklab/oaklab/realtrial.py
+++ b/packages/oaklab/oaklab/realtrial.py
@@ -5,13 +5,13 @@
 
 from twisted.internet.threads import deferToThread
 
-from oakbase.fetch import WebClient
-from oakbase.tasks import settled, sleep
 from oakctl.asking import ask
 from oaklab.caller import Caller, Operator, View
 from oaklab.checker import check
 from oaklab.plan import PARTNERS, PLAIN_NAMES, PLATFORM, SIZES, blueprint_of
 from oaklab.standin import Record
+from oakramp.common.fetch import WebClient
+from oakramp.common.tasks import settled, sleep
 
 
 class RealTrial:
--- a/packages/oaklab/oaklab/scale.py
+++ b/packages/oaklab/oaklab/scale.py
@@ -25,9 +25,6 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from oakbase.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
-from oakbase.tasks import Repeater, monotonic_reactor, spawn
-from oakbase.verdict import OakError
 from oakcohort.members import SILENT
 from oakcontrol.client import OwnerClient
 from oakcontrol.places import REPLICAS_KEY
@@ -35,6 +32,9 @@
 from oaklab.capacity import replica_rows, wire_meter
 from oaklab.plan import blueprint_of
 from oaknews.node import Node
+from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
+from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
+from oakramp.common.verdict import OakError
 
 NETWORKS = range(64, 128)  # second bytes of loopback addresses; each run takes one that no other run on the machine has
 CLAIM = "255.1", 7400  # where a run listens, so that others see that its network is taken
--- a/packages/oaklab/oaklab/simfleet.py
+++ b/packages/oaklab/oaklab/simfleet.py
@@ -4,10 +4,6 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import SLOTS
-from oakbase.fetch import WebClient
-from oakbase.logline import LogLine
-from oakbase.tasks import spawn
 from oakcontrol.control import ControlNode
 from oakcontrol.storeset import StoreSet
 from oakgate.gate import GateNode
@@ -29,6 +25,10 @@
 from oaklab.simdisk import SimDisk
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oaklab.standin import Record, StandinPlatform, StandinReplica
+from oakramp.common.constants import SLOTS
+from oakramp.common.fetch import WebClient
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import spawn
 from oakstore.store import StoreNode
 
 BUILDERS = {"control": ControlNode, "store": StoreNode, "gate": GateNode}
--- a/packages/oaklab/oaklab/takeout.py
+++ b/packages/oaklab/oaklab/takeout.py
@@ -799,7 +799,7 @@
     ),
     TakeOut(
         "a lapsed lease is longer than a short freeze",
-        "oakbase/oakbase/constants.py",
+        "common/oakramp/common/constants.py",
         "LEASE_LAPSED = 0.9",
         "LEASE_LAPSED = 0.6",
         "test_failover.LapseTest.test_freeze_of_half_a_second_takes_nothing_over",
@@ -1135,7 +1135,7 @@
     ),
     TakeOut(
         "hand-over of slots and quiet stop",
-        "oakbase/oakbase/web.py",
+        "common/oakramp/common/web.py",
         "while self._reactor.seconds() - quiet_since < QUIET_TIME and self._connections.protocols:",
         "while False:",
         "test_faults.GateFaults.test_planned_stops_cut_nothing_off",
--- a/packages/oaklab/oaklab/work.py
+++ b/packages/oaklab/oaklab/work.py
@@ -7,7 +7,6 @@
 
 from sortedcontainers import SortedDict
 
-from oakbase.logline import LogLine
 from oakcontrol import budget  # noqa: F401  it enters its controller
 from oakcontrol.controllers import CONTROLLERS
 from oakcontrol.owner import Context, SlotOwner, View
@@ -16,6 +15,7 @@
 from oakdvv.clock import Clock
 from oaklab.simdisk import SimDisk
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.common.logline import LogLine
 from oakring.ring import Ring
 from oakstore.table import LineRow, LineTable, to_state
 from oakwire.codec import pack
--- a/packages/oaknews/oaknews/damaged.py
+++ b/packages/oaknews/oaknews/damaged.py
@@ -5,9 +5,9 @@
 for an operator. To the others it is a node that is down, so a store set with a spare and enough copies replaces it.
 """
 
-from oakbase.constants import ACCEPT_INBOX
-from oakbase.logline import LogLine
-from oakbase.web import Web
+from oakramp.common.constants import ACCEPT_INBOX
+from oakramp.common.logline import LogLine
+from oakramp.common.web import Web
 
 
 class DamagedNode:
--- a/packages/oakprefix/oakprefix/cache_model.py
+++ b/packages/oakprefix/oakprefix/cache_model.py
@@ -9,7 +9,7 @@
 
 import math
 
-from oakbase.constants import CACHE_TIME_MOST
+from oakramp.common.constants import CACHE_TIME_MOST
 
 STEPS = 40  # halvings of the span; beyond what doubles can tell
 
--- a/packages/oakprefix/oakprefix/counters.py
+++ b/packages/oakprefix/oakprefix/counters.py
@@ -9,7 +9,7 @@
 
 from cachetools import LFUCache
 
-from oakbase.constants import TENANT_ID_LIMIT, TENANT_PARTS, TENANT_PARTS_TOLD, TENANTS_COUNTED, TENANTS_TOLD
+from oakramp.common.constants import TENANT_ID_LIMIT, TENANT_PARTS, TENANT_PARTS_TOLD, TENANTS_COUNTED, TENANTS_TOLD
 
 
 def tenant_of(prefix):
--- a/packages/oakprefix/oakprefix/detector.py
+++ b/packages/oakprefix/oakprefix/detector.py
@@ -11,7 +11,8 @@
 from collections import deque
 from dataclasses import dataclass, replace
 
-from oakbase.constants import (
+from oakprefix.cache_model import characteristic_time, hit_share
+from oakramp.common.constants import (
     CACHE_USABLE,
     COMMON_SHARE,
     COMMON_USES,
@@ -25,7 +26,6 @@
     TRAP_REQUESTS,
     TRAP_ROUNDS,
 )
-from oakprefix.cache_model import characteristic_time, hit_share
 
 
 @dataclass(frozen=True)
--- a/packages/oakprefix/oakprefix/planner.py
+++ b/packages/oakprefix/oakprefix/planner.py
@@ -8,7 +8,9 @@
 
 import math
 
-from oakbase.constants import (
+from oakprefix.cache_model import characteristic_time, held, hit_share
+from oakprefix.detector import pressure
+from oakramp.common.constants import (
     BIN_SHARE,
     CACHE_USABLE,
     EVICTION_WINDOW,
@@ -17,8 +19,6 @@
     TENANT_REPLICAS,
     TENANTS_MOVED,
 )
-from oakprefix.cache_model import characteristic_time, held, hit_share
-from oakprefix.detector import pressure
 
 
 class _Bins:
--- a/packages/oakrelay/oakrelay/answer.py
+++ b/packages/oakrelay/oakrelay/answer.py
@@ -2,8 +2,8 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import PIECES_LIMIT
-from oakbase.verdict import Broken, NoAnswer, TooLarge, Verdict
+from oakramp.common.constants import PIECES_LIMIT
+from oakramp.common.verdict import Broken, NoAnswer, TooLarge, Verdict
 from oakrelay.headers import WithHeaders
 
 WHOLE = object()  # the outcome of an answer that came to its end
--- a/packages/oakrelay/oakrelay/caller.py
+++ b/packages/oakrelay/oakrelay/caller.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer, protocol
 
-from oakbase.constants import EAGER_LIMIT, LINGER_TIME, TRAILER_LIMIT
+from oakramp.common.constants import EAGER_LIMIT, LINGER_TIME, TRAILER_LIMIT
 from oakrelay.exchange import Exchange
 from oakrelay.framing import BARE_LINE_FEED, TOKEN, ChunkedDecoder, Malformed, body_length, parse_fields, status_line
 from oakrelay.sockets import read_now, send_now, set_options
--- a/packages/oakrelay/oakrelay/connection.py
+++ b/packages/oakrelay/oakrelay/connection.py
@@ -8,8 +8,8 @@
 
 from twisted.internet import defer, error, protocol
 
-from oakbase.constants import ANSWER_HEAD_LIMIT, KEPT_MARGIN, KEPT_UNTOLD, TRAILER_LIMIT
-from oakbase.verdict import Broken, NoAnswer, Unreachable, Verdict
+from oakramp.common.constants import ANSWER_HEAD_LIMIT, KEPT_MARGIN, KEPT_UNTOLD, TRAILER_LIMIT
+from oakramp.common.verdict import Broken, NoAnswer, Unreachable, Verdict
 from oakrelay.answer import WHOLE, Answer
 from oakrelay.framing import ChunkedDecoder, Malformed, body_length, parse_fields
 from oakrelay.sockets import has_unsent, send_now, set_options
--- a/packages/oakrelay/oakrelay/framing.py
+++ b/packages/oakrelay/oakrelay/framing.py
@@ -10,7 +10,7 @@
 
 from twisted.web.http import RESPONSES
 
-from oakbase.constants import CHUNK_LINE_LIMIT
+from oakramp.common.constants import CHUNK_LINE_LIMIT
 
 TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
 _FIELD = re.compile(rb"^(" + TOKEN + rb"):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*)\r\n", re.M)
--- a/packages/oakrelay/oakrelay/front.py
+++ b/packages/oakrelay/oakrelay/front.py
@@ -8,9 +8,9 @@
 
 from twisted.internet import defer, protocol
 
-from oakbase.constants import BODIES_LIMIT, CALLERS_LIMIT, QUIET_TIME
-from oakbase.env import split_address
-from oakbase.tasks import sleep
+from oakramp.common.constants import BODIES_LIMIT, CALLERS_LIMIT, QUIET_TIME
+from oakramp.common.env import split_address
+from oakramp.common.tasks import sleep
 from oakrelay.caller import Caller
 
 
--- a/packages/oakrelay/oakrelay/sockets.py
+++ b/packages/oakrelay/oakrelay/sockets.py
@@ -9,7 +9,7 @@
 
 from twisted.internet import tcp
 
-from oakbase.constants import PEER_PROBE, PEER_SILENCE
+from oakramp.common.constants import PEER_PROBE, PEER_SILENCE
 
 
 def set_options(transport, probes):
--- a/packages/oakrelay/oakrelay/upstream.py
+++ b/packages/oakrelay/oakrelay/upstream.py
@@ -9,9 +9,9 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import CONNECT_TIME
-from oakbase.env import split_address
-from oakbase.verdict import BadRequest, Overloaded, TimeSpent, Unreachable
+from oakramp.common.constants import CONNECT_TIME
+from oakramp.common.env import split_address
+from oakramp.common.verdict import BadRequest, Overloaded, TimeSpent, Unreachable
 from oakrelay.connection import Dial, ReplicaConnection
 from oakrelay.framing import HOP_BY_HOP, TOKEN, Malformed, join_head
 from oakrelay.sockets import is_quiet
--- a/packages/oakring/oakring/check.py
+++ b/packages/oakring/oakring/check.py
@@ -4,8 +4,8 @@
 import re
 from dataclasses import dataclass, field
 
-from oakbase.logline import LogLine
-from oakbase.verdict import RingError
+from oakramp.common.logline import LogLine
+from oakramp.common.verdict import RingError
 from oakring.ring import LAP_SIZE, Ring, lap_header
 
 RING_FILE = re.compile(r"ring\.(\d{3})")
--- a/packages/oakring/oakring/ring.py
+++ b/packages/oakring/oakring/ring.py
@@ -26,9 +26,9 @@
 from cachetools import LRUCache
 from twisted.internet import defer
 
-from oakbase.constants import RING_BATCH, RING_FILE_SIZE, RING_FILES, RING_RESERVE_FILES, RING_VERSION
-from oakbase.tasks import spawn
-from oakbase.verdict import RingDamaged, RingError, RingFull
+from oakramp.common.constants import RING_BATCH, RING_FILE_SIZE, RING_FILES, RING_RESERVE_FILES, RING_VERSION
+from oakramp.common.tasks import spawn
+from oakramp.common.verdict import RingDamaged, RingError, RingFull
 
 RING_PREFIX = "ring."  # what the names of a ring's files begin with
 LAP_MARK = b"OAKRING\0"
--- a/packages/oakstore/oakstore/anti_entropy.py
+++ b/packages/oakstore/oakstore/anti_entropy.py
@@ -13,9 +13,9 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import COPY_PAGE_TURNS, RECORD_PAGE, STORE_CALL_TIME, SWEEP_KEYS
-from oakbase.tasks import settled
-from oakbase.verdict import Fenced, OakError
+from oakramp.common.constants import COPY_PAGE_TURNS, RECORD_PAGE, STORE_CALL_TIME, SWEEP_KEYS
+from oakramp.common.tasks import settled
+from oakramp.common.verdict import Fenced, OakError
 from oakstore.records import read_header
 from oakstore.table import TURN_LINE, bucket_of, from_state, to_state
 from oakwire.codec import idl
--- a/packages/oakstore/oakstore/daemon.py
+++ b/packages/oakstore/oakstore/daemon.py
@@ -1,7 +1,7 @@
 """oakstored: a store node."""
 
-from oakbase.env import DISK_ENV
 from oaknews.program import run_daemon
+from oakramp.common.env import DISK_ENV
 from oakstore.store import StoreNode
 
 
--- a/packages/oakstore/oakstore/lines.py
+++ b/packages/oakstore/oakstore/lines.py
@@ -3,15 +3,15 @@
 
 import json
 
-from oakbase.checks import pack_json
-from oakbase.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
-from oakbase.tasks import quorum_of, sleep
-from oakbase.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
 from oakcohort.members import LIVE
 from oakcohort.rendezvous import ranked
 from oakcontrol.storeset import STORES_KEY, StoreSet, majority
 from oakdvv.clock import sync_versions
 from oakdvv.context import to_context
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
+from oakramp.common.tasks import quorum_of, sleep
+from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
 from oakstore.store_calls import StoreCalls
 from oakstore.table import from_state
 
--- a/packages/oakstore/oakstore/records.py
+++ b/packages/oakstore/oakstore/records.py
@@ -11,8 +11,8 @@
 
 from sortedcontainers import SortedList
 
-from oakbase.constants import RECALL_KEPT, RECORD_KEPT_MOST, RECORDS_DROPPED
-from oakbase.verdict import BadRequest
+from oakramp.common.constants import RECALL_KEPT, RECORD_KEPT_MOST, RECORDS_DROPPED
+from oakramp.common.verdict import BadRequest
 
 RECORD_ROW = "t/"
 _HEAD = struct.Struct("<BIHHHII")  # layout, ms to keep, lengths of turn id, parent, line key, input, output
--- a/packages/oakstore/oakstore/store.py
+++ b/packages/oakstore/oakstore/store.py
@@ -7,8 +7,12 @@
 
 from twisted.internet import defer
 
-from oakbase.checks import pack_json
-from oakbase.constants import (
+from oakcohort.members import LIVE
+from oakcontrol.storeset import STORES_KEY, StoreSet, majority
+from oakdvv.context import from_context, to_context
+from oaknews.node import Node
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import (
     ACCEPT_INBOX,
     HINT_LIMIT,
     LINE_KEPT,
@@ -23,14 +27,10 @@
     STORES_LEAVING_TIME,
     SWEEP_HINTS,
 )
-from oakbase.metrics import Metrics, serve_metrics
-from oakbase.tasks import Repeater, quorum_of, sleep, spawn
-from oakbase.verdict import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
-from oakbase.web import Web
-from oakcohort.members import LIVE
-from oakcontrol.storeset import STORES_KEY, StoreSet, majority
-from oakdvv.context import from_context, to_context
-from oaknews.node import Node
+from oakramp.common.metrics import Metrics, serve_metrics
+from oakramp.common.tasks import Repeater, quorum_of, sleep, spawn
+from oakramp.common.verdict import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
+from oakramp.common.web import Web
 from oakring.ring import Ring
 from oakstore.anti_entropy import AntiEntropy, StoreAddress
 from oakstore.records import read_header
--- a/packages/oakstore/oakstore/table.py
+++ b/packages/oakstore/oakstore/table.py
@@ -15,8 +15,11 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-from oakbase.checks import pack_json
-from oakbase.constants import (
+from oakcohort.rendezvous import slot_of
+from oakdvv.clock import Clock, sync_versions, update
+from oakdvv.context import clock_to_row
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import (
     FULL_SHARE,
     LINE_KEPT,
     LINE_KEPT_FULL,
@@ -26,10 +29,7 @@
     SWEEP_BUCKETS,
     SWEEP_KEYS,
 )
-from oakbase.inbox import TableOwner
-from oakcohort.rendezvous import slot_of
-from oakdvv.clock import Clock, sync_versions, update
-from oakdvv.context import clock_to_row
+from oakramp.common.inbox import TableOwner
 from oakstore.records import RECORD_ROW, RecordTable
 from oakwire.codec import idl, pack, unpack
 
--- a/packages/oakstore/oakstore/turns.py
+++ b/packages/oakstore/oakstore/turns.py
@@ -6,8 +6,12 @@
 
 from twisted.internet import defer
 
-from oakbase.checks import pack_json
-from oakbase.constants import (
+from oakcohort.rendezvous import ranked
+from oakcontrol.storeset import STORES_KEY, StoreSet, majority
+from oakdvv.clock import sync_versions
+from oakdvv.context import to_context
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import (
     CONDITION_AGE,
     FULL_KNOWN,
     LATE_TIMES,
@@ -17,12 +21,8 @@
     RETAIN_MARGIN,
     STORE_CALL_TIME,
 )
-from oakbase.tasks import sleep, spawn
-from oakbase.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
-from oakcohort.rendezvous import ranked
-from oakcontrol.storeset import STORES_KEY, StoreSet, majority
-from oakdvv.clock import sync_versions
-from oakdvv.context import to_context
+from oakramp.common.tasks import sleep, spawn
+from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
 from oakstore.records import pack_record, read_bodies, read_header
 from oakstore.store_calls import HeldBack, StoreCalls
 from oakstore.table import TURN_LINE, from_state, pack_turns, turns_in
--- a/packages/oakwire/oakwire/net.py
+++ b/packages/oakwire/oakwire/net.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from oakbase.constants import (
+from oakramp.common.constants import (
     ACCEPT_LIMIT,
     CALL_TIME,
     CONNECT_TIME,
@@ -23,9 +23,9 @@
     WIRE_SPAN,
     WIRE_VERSION,
 )
-from oakbase.env import split_address
-from oakbase.tasks import begin, drive, spawn
-from oakbase.verdict import (
+from oakramp.common.env import split_address
+from oakramp.common.tasks import begin, drive, spawn
+from oakramp.common.verdict import (
     BadRequest,
     Fenced,
     NoAnswer,
--- a/tests/order_trial.py
+++ b/tests/order_trial.py
@@ -7,10 +7,6 @@
 from dataclasses import dataclass
 from unittest.mock import patch
 
-from oakbase.checks import pack_json
-from oakbase.registry import Registry
-from oakbase.tasks import settled, sleep, spawn, within
-from oakbase.verdict import NoAnswer
 from oakcontrol import routing
 from oakcontrol.control import ControlNode
 from oakcontrol.routing import ROUTING_KEY, document_from
@@ -19,6 +15,10 @@
 from oaklab.linearizability import NEVER_ANSWERED, NOTHING, Answer, Order, Read, Try, check_history
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimReactor
+from oakramp.common.checks import pack_json
+from oakramp.common.registry import Registry
+from oakramp.common.tasks import settled, sleep, spawn, within
+from oakramp.common.verdict import NoAnswer
 from test_operator import PORT, Said, SmallDialect, document, send_once
 
 TROUBLES = Registry("trouble")
--- a/tests/relay_callers.py
+++ b/tests/relay_callers.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import error
 
-from oakbase.tasks import settled, sleep, spawn
+from oakramp.common.tasks import settled, sleep, spawn
 from relay_http import ask_once, connect, request_bytes
 
 FINAL = (400, 401, 404, 413, 431)  # a client does not ask again after these
--- a/tests/relay_checker.py
+++ b/tests/relay_checker.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oakbase.checks import pack_json
-from oakbase.registry import Registry
 from oaklab.linearizability import Answer, Order, Read, Try, check_history
+from oakramp.common.checks import pack_json
+from oakramp.common.registry import Registry
 
 RULES = Registry("rule")
 PROMISES = (408, 421, 429, 503)
--- a/tests/relay_wire.py
+++ b/tests/relay_wire.py
@@ -6,7 +6,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from oakbase.logline import LogLine
+from oakramp.common.logline import LogLine
 from oakrelay.front import Front
 
 
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -159,7 +159,7 @@
         self.assertEqual(self.ask("GET", self.gate, "/condition")[1]["condition"], "ready")
 
     def raw(self, client, data):
-        from oakbase import fetch
+        from oakramp.common import fetch
 
         kept = fetch.pack_json
         fetch.pack_json = lambda value: data
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -5,12 +5,12 @@
 from hypothesis import given, settings, strategies as st
 from sortedcontainers import SortedDict
 
-from oakbase.constants import TURNS_LIMIT
-from oakbase.verdict import OakError
 from oakcontrol import budget, claim  # noqa: F401  they enter their controllers
 from oakcontrol.controllers import CONTROLLERS
 from oakcontrol.owner import Context, View
 from oaknews.board import Board
+from oakramp.common.constants import TURNS_LIMIT
+from oakramp.common.verdict import OakError
 
 
 class Members:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -9,15 +9,15 @@
 from collections import Counter
 from unittest import mock
 
-from oakbase.constants import SLOTS
-from oakbase.logline import LogLine
-from oakbase.tasks import spawn
-from oakbase.verdict import OakError, RingFull
 from oakcontrol import replication
 from oakcontrol.routing import ROUTING_KEY
 from oakcontrol.slots import in_parts, slot_of_key, unpack_entry
 from oakcontrol.voter import Voter
 from oaklab.simfleet import SimFleet
+from oakramp.common.constants import SLOTS
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import spawn
+from oakramp.common.verdict import OakError, RingFull
 from oakring.ring import Ring
 from oakwire.codec import idl
 from test_images import VoterRig, entries_of, image_of
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -11,10 +11,6 @@
 from sortedcontainers import SortedDict
 
 import test_operator
-from oakbase.constants import OWNER_TRY_TIME, REPLICA_AGE, ROUTING_AGE, ROUTING_STRETCH, TERM, VIEW_AGE
-from oakbase.logline import LogLine
-from oakbase.tasks import sleep, spawn
-from oakbase.verdict import CannotTell, Lost, NotOwner
 from oakcontrol.contact import Contact
 from oakcontrol.controllers import CONTROLLERS
 from oakcontrol.owner import ConfirmationRound, SlotOwner
@@ -28,6 +24,10 @@
 from oaklab.plan import PARTNERS, blueprint_of
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.common.constants import OWNER_TRY_TIME, REPLICA_AGE, ROUTING_AGE, ROUTING_STRETCH, TERM, VIEW_AGE
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import sleep, spawn
+from oakramp.common.verdict import CannotTell, Lost, NotOwner
 from test_operator import document
 
 CUT_S = 20.0  # s; how long a member is cut off
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -6,9 +6,9 @@
 import unittest
 from unittest import mock
 
-from oakbase.logline import LogLine
 from oaklab.simdisk import PowerLost
 from oaklab.simfolder import SimFolder
+from oakramp.common.logline import LogLine
 from oakring.disk import FolderDisk
 from oakring.ring import Ring
 from oakstore.store import EMPTYING, _clear
--- a/tests/test_disk_check.py
+++ b/tests/test_disk_check.py
@@ -9,8 +9,8 @@
 
 from click.testing import CliRunner
 
-from oakbase.logline import LogLine
 from oakctl.main import main
+from oakramp.common.logline import LogLine
 from oakring.disk import FolderDisk
 from oakring.ring import LAP_SIZE, Ring, _pack_record
 
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -3,9 +3,9 @@
 import copy
 import unittest
 
-from oakbase.verdict import OakError
 from oakctl.doctor import CHECKS, examine, take_survey, worst_code
 from oaklab.simfleet import SimFleet
+from oakramp.common.verdict import OakError
 
 
 def survey_of(fleet):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -5,16 +5,16 @@
 import unittest
 from dataclasses import replace
 
-from oakbase.constants import FORGET_AGE
-from oakbase.logline import LogLine
-from oakbase.tasks import begin
-from oakbase.verdict import NoAnswer
 from oakcohort.members import Member, Members
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oaknews.board import Board
 from oaknews.exchange import Heard, Told, pack_ages, unpack_ages
 from oaknews.puller import Puller
+from oakramp.common.constants import FORGET_AGE
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import begin
+from oakramp.common.verdict import NoAnswer
 from oakwire.codec import idl, pack, unpack
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -6,7 +6,12 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from oakbase.constants import (
+from oakcontrol.moves import OwnerMoves
+from oakcontrol.preparation import Preparation
+from oakcontrol.slots import slot_of_key
+from oaklab.failover import PLAN_KEY, false_takeovers, run_failover, run_planned_stop
+from oaklab.simfleet import SimFleet
+from oakramp.common.constants import (
     CONDITION_AGE,
     LEASE_LAPSED,
     OWNER_LEFT_PAUSE,
@@ -16,13 +21,8 @@
     TAKEOVER_LOOK,
     TERM,
 )
-from oakbase.tasks import settled
-from oakbase.verdict import CannotTell, NoAnswer
-from oakcontrol.moves import OwnerMoves
-from oakcontrol.preparation import Preparation
-from oakcontrol.slots import slot_of_key
-from oaklab.failover import PLAN_KEY, false_takeovers, run_failover, run_planned_stop
-from oaklab.simfleet import SimFleet
+from oakramp.common.tasks import settled
+from oakramp.common.verdict import CannotTell, NoAnswer
 
 
 class MeasurementTest(unittest.TestCase):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from oakbase.constants import TERM
-from oakbase.tasks import settled, sleep, spawn
 from oakcontrol.slots import slot_of_key
 from oaklab.caller import Asked
 from oaklab.faults import replace, send_plan
 from oaklab.plan import PARTNERS, PLATFORM, Size, blueprint_of
 from oaklab.simfleet import SMALL, SimFleet
 from oaklab.trial import total_outage
+from oakramp.common.constants import TERM
+from oakramp.common.tasks import settled, sleep, spawn
 
 
 class FleetTest(unittest.TestCase):
@@ -791,7 +791,7 @@
                     "POST", self.gate("gate0"), f"/v1/dalatech/programs/{program}/lines/l1/turns", body, 10
                 )
             )
-            from oakbase.fetch import BodyLines
+            from oakramp.common.fetch import BodyLines
 
             lines = BodyLines(1000)
             response.deliverBody(lines)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -4,7 +4,7 @@
 import unittest
 from types import SimpleNamespace
 
-from oakbase.constants import FRAME_LIMIT
+from oakramp.common.constants import FRAME_LIMIT
 from oakwire.codec import idl, pack, pack_frame, unpack, unpack_frame, unpack_usual
 from oakwire.net import LENGTH, Connection
 
--- a/tests/test_gates_catching_up.py
+++ b/tests/test_gates_catching_up.py
@@ -6,14 +6,14 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakbase.constants import COHORT_CONTROL, COHORT_SIZE, GONE_LIMIT
-from oakbase.logline import LogLine
 from oakcontrol.routing import ROUTING_KEY, document_from, pieces_of
 from oakcontrol.slots import pack_entry, slot_of_key
 from oakgate.routing import Router
 from oaknews.board import Board
 from oakplatform.dialect import Dialect
 from oakplatform.routes import routing_of
+from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, GONE_LIMIT
+from oakramp.common.logline import LogLine
 from relay_fleet import RelayFleet, route
 
 SOURCE = "routing"
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -7,10 +7,6 @@
 from twisted.internet import defer, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from oakbase.checks import pack_json
-from oakbase.constants import OPERATOR_LIMIT
-from oakbase.tasks import settled, sleep, spawn, within
-from oakbase.verdict import BadRequest, CannotTell, Conflict, Invalid, NoAnswer, Unknown
 from oakcontrol import operator as operator_module
 from oakcontrol.control import ControlNode
 from oakcontrol.operator import fingerprint_of, read_document
@@ -20,6 +16,10 @@
 from oaklab import simfleet
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimReactor
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import OPERATOR_LIMIT
+from oakramp.common.tasks import settled, sleep, spawn, within
+from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, NoAnswer, Unknown
 
 PORT = 7481
 
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -7,10 +7,10 @@
 
 from twisted.internet import task
 
-from oakbase.constants import LATE_LEAST, LATE_TIMES, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
-from oakbase.logline import LogLine
 from oakgate.outliers import FAULTS, Outliers
 from oaknews.board import Board
+from oakramp.common.constants import LATE_LEAST, LATE_TIMES, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
+from oakramp.common.logline import LogLine
 
 
 class Fleet:
--- a/tests/test_prefix.py
+++ b/tests/test_prefix.py
@@ -6,7 +6,11 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakbase.constants import (
+from oakprefix.cache_model import characteristic_time, hit_share
+from oakprefix.counters import TenantCounters, tenant_of
+from oakprefix.detector import Detector, Load, Window, findings_of
+from oakprefix.planner import is_worth, plan_of, read_again
+from oakramp.common.constants import (
     CACHE_TIME_MOST,
     CACHE_USABLE,
     END_ROUNDS,
@@ -21,10 +25,6 @@
     TENANTS_TOLD,
     TRAP_ROUNDS,
 )
-from oakprefix.cache_model import characteristic_time, hit_share
-from oakprefix.counters import TenantCounters, tenant_of
-from oakprefix.detector import Detector, Load, Window, findings_of
-from oakprefix.planner import is_worth, plan_of, read_again
 
 CACHE = 60000
 REPLICAS = [f"r{number}" for number in range(8)]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,8 +12,8 @@
 import urllib.request
 from unittest import mock
 
-from oakbase.logline import LogLine
 from oaklab.simfleet import SimFleet
+from oakramp.common.logline import LogLine
 from oakring.disk import FolderDisk
 from oakring.ring import Ring
 
--- a/tests/test_reactor.py
+++ b/tests/test_reactor.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python import log
 
-from oakbase.reactor import LeanReactor
+from oakramp.common.reactor import LeanReactor
 
 
 class Pipe(FileDescriptor):
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -4,14 +4,14 @@
 import tracemalloc
 import unittest
 
-from oakbase.constants import LINE_TURNS, RETAIN_MARGIN
-from oakbase.logline import LogLine
-from oakbase.tasks import settled
-from oakbase.verdict import BadRequest, CannotTell, Conflict, Gone, NoAnswer
 from oaklab.plan import Size
 from oaklab.simdisk import SimDisk
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.common.constants import LINE_TURNS, RETAIN_MARGIN
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import settled
+from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Gone, NoAnswer
 from oakring.ring import Ring
 from oakstore.records import RecordTable, pack_record, read_bodies, read_header
 from oakstore.turns import Record, TurnClient, line_key_of
--- a/tests/test_relay_front.py
+++ b/tests/test_relay_front.py
@@ -8,10 +8,10 @@
 from twisted.internet import defer, error, protocol
 from twisted.web.http import _ChunkedTransferDecoder, _MalformedChunkedDataError
 
-from oakbase.constants import EAGER_LIMIT, LINGER_TIME, QUIET_TIME
-from oakbase.logline import LogLine
-from oakbase.tasks import sleep
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.common.constants import EAGER_LIMIT, LINGER_TIME, QUIET_TIME
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import sleep
 from oakrelay.framing import ChunkedDecoder, Malformed
 from oakrelay.front import Front
 
--- a/tests/test_relay_upstream.py
+++ b/tests/test_relay_upstream.py
@@ -15,10 +15,10 @@
 from twisted.web.http import PotentialDataLoss
 from twisted.web.http_headers import Headers
 
-from oakbase.constants import ANSWER_HEAD_LIMIT, CONNECT_TIME, KEPT_MARGIN, KEPT_UNTOLD, PIECES_LIMIT
-from oakbase.logline import LogLine
-from oakbase.verdict import BadRequest, Broken, NoAnswer, Overloaded, TimeSpent, TooLarge, Unreachable, Verdict
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.common.constants import ANSWER_HEAD_LIMIT, CONNECT_TIME, KEPT_MARGIN, KEPT_UNTOLD, PIECES_LIMIT
+from oakramp.common.logline import LogLine
+from oakramp.common.verdict import BadRequest, Broken, NoAnswer, Overloaded, TimeSpent, TooLarge, Unreachable, Verdict
 from oakrelay.front import Front
 from oakrelay.upstream import Upstreams
 
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -3,11 +3,11 @@
 import random
 import unittest
 
-from oakbase.logline import LogLine
-from oakbase.verdict import RingDamaged, RingError, RingFull
 from oaklab.powerloss import PowerLosses
 from oaklab.simdisk import SimDisk
 from oaklab.simnet import SimHost, SimNetwork, SimTime
+from oakramp.common.logline import LogLine
+from oakramp.common.verdict import RingDamaged, RingError, RingFull
 from oakring.ring import LAP_SIZE, LOST_HEAD_READ, RECORD, Cold, Ring, _mark_of, _pack_lap, _pack_record
 
 FILE_SIZE = 4096
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,10 +7,6 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakbase.checks import pack_json
-from oakbase.constants import CHANGES_REMEMBERED
-from oakbase.logline import LogLine
-from oakbase.verdict import CannotTell, Invalid, Lost, Verdict
 from oakcontrol.controllers import CONTROLLERS
 from oakcontrol.owner import View
 from oakcontrol.routing import (
@@ -25,6 +21,10 @@
 )
 from oakgate.routing import Route, Router
 from oaknews.board import Board
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import CHANGES_REMEMBERED
+from oakramp.common.logline import LogLine
+from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
 from test_budgets import Rig
 
 DOCUMENT = {
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -6,12 +6,12 @@
 
 from twisted.internet import defer
 
-from oakbase.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
-from oakbase.logline import LogLine
-from oakbase.metrics import Metrics
-from oakbase.verdict import CannotTell, Fenced, NoAnswer, RingFull, Unreachable
 from oaklab.plan import Size
 from oaklab.simfleet import SimFleet
+from oakramp.common.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
+from oakramp.common.logline import LogLine
+from oakramp.common.metrics import Metrics
+from oakramp.common.verdict import CannotTell, Fenced, NoAnswer, RingFull, Unreachable
 from oakstore.store_calls import HeldBack, StoreCalls
 from oakstore.turns import Record, TurnClient
 
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -6,15 +6,15 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakbase.constants import VIEW_AGE
-from oakbase.logline import LogLine
-from oakbase.tasks import spawn
 from oakcontrol.slots import slot_of_key
 from oakdvv.clock import Clock, leq
 from oaklab.simdisk import SimDisk
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oaklab.work import owner_work, store_work
+from oakramp.common.constants import VIEW_AGE
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import spawn
 from oakring.ring import Ring
 from oakstore.table import LineTable, store_of
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,10 +4,10 @@
 
 from twisted.internet import defer
 
-from oakbase.inbox import TableOwner
-from oakbase.logline import LogLine
-from oakbase.tasks import begin, drive, spawn
-from oakbase.verdict import Overloaded
+from oakramp.common.inbox import TableOwner
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import begin, drive, spawn
+from oakramp.common.verdict import Overloaded
 
 
 class Tasks(unittest.TestCase):
