--- a/packages/oakcontrol/oakcontrol/owner.py
+++ b/packages/oakcontrol/oakcontrol/owner.py
@@ -40,7 +40,7 @@
 from oakramp.common.inbox import Inbox
 from oakramp.common.tasks import Repeater, drive, sleep, spawn, within
 from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
-from oakwire.codec import idl, pack
+from oakramp.rpc.codec import idl, pack
 
 
 def entries_of(pairs):
--- a/packages/oakcontrol/oakcontrol/replication.py
+++ b/packages/oakcontrol/oakcontrol/replication.py
@@ -23,7 +23,7 @@
 )
 from oakramp.common.tasks import spawn, within
 from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 
 
 class StepBatcher:
--- a/packages/oakcontrol/oakcontrol/voter.py
+++ b/packages/oakcontrol/oakcontrol/voter.py
@@ -15,7 +15,7 @@
 from oakramp.common.inbox import TableOwner
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import Fenced, RingFull
-from oakwire.codec import idl, unpack
+from oakramp.rpc.codec import idl, unpack
 
 
 @dataclass
--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/oaklab/oaklab/capacity.py
@@ -35,10 +35,10 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, spawn
+from oakramp.rpc.codec import idl, pack, unpack
+from oakramp.rpc.net import Connection
 from oakring.ring import Ring
 from oakstore.table import LineTable
-from oakwire.codec import idl, pack, unpack
-from oakwire.net import Connection
 
 SLOPES = Registry("slope")
 NODES = (16, 32, 64, 128)  # a simulated fleet; 256 takes a quarter of an hour of one core
--- a/packages/oaklab/oaklab/explore/network.py
+++ b/packages/oaklab/oaklab/explore/network.py
@@ -7,8 +7,8 @@
 
 from oakramp.common.tasks import begin
 from oakramp.common.verdict import NoAnswer, OakError, Unreachable
-from oakwire.codec import arguments_class
-from oakwire.net import Net
+from oakramp.rpc.codec import arguments_class
+from oakramp.rpc.net import Net
 from twisted.internet import defer
 
 
--- a/packages/oaklab/oaklab/explore/process.py
+++ b/packages/oaklab/oaklab/explore/process.py
@@ -15,7 +15,7 @@
 from oakcontrol.voter import Voter
 from oaknews.board import Board
 from oakring.ring import Ring
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 from oaklab.explore.clock import ModelClock
 from oaklab.explore.network import ModelNet
 
--- a/packages/oaklab/oaklab/explore/world.py
+++ b/packages/oaklab/oaklab/explore/world.py
@@ -8,7 +8,7 @@
 from oakramp.common.verdict import OakError
 from oakcontrol.roster import ROSTER_KEY, Roster
 from oakcontrol.routing import ROUTING_KEY
-from oakwire.codec import arguments_class
+from oakramp.rpc.codec import arguments_class
 from oaklab.explore.disk import ModelDisk
 from oaklab.explore.history import Answer, History
 from oaklab.explore.invariants import Watcher
--- a/packages/oaklab/oaklab/measure.py
+++ b/packages/oaklab/oaklab/measure.py
@@ -12,7 +12,7 @@
 from oaklab.work import loading_time, owner_work, store_work
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
-from oakwire.codec import idl, pack
+from oakramp.rpc.codec import idl, pack
 
 MEASURES = Registry("measure")
 TRIES = 20  # requests; one at a time, so that no sync is shared
--- a/packages/oaklab/oaklab/takeout.py
+++ b/packages/oaklab/oaklab/takeout.py
@@ -722,7 +722,7 @@
     ),
     TakeOut(
         "calls that name the node they are for",
-        "oakwire/oakwire/net.py",
+        "rpc/oakramp/rpc/net.py",
         "if wanted not in (None, found):",
         "if False:",
         "test_founding.Mending.test_empty_disk_does_not_stand_for_its_former_self",
--- a/packages/oaklab/oaklab/work.py
+++ b/packages/oaklab/oaklab/work.py
@@ -16,9 +16,9 @@
 from oaklab.simdisk import SimDisk
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.logline import LogLine
+from oakramp.rpc.codec import pack
 from oakring.ring import Ring
 from oakstore.table import LineRow, LineTable, to_state
-from oakwire.codec import pack
 
 ENDPOINT = "127.0.0.1"
 
--- a/packages/oaknews/oaknews/board.py
+++ b/packages/oaknews/oaknews/board.py
@@ -10,7 +10,7 @@
 
 from oaknews.exchange import unpack_ages
 from oakramp.common.constants import GONE_LIMIT
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 
 AGE_LIMIT = 2**31 - 1  # ms, the largest age that fits the wire's field
 
--- a/packages/oaknews/oaknews/exchange.py
+++ b/packages/oaknews/oaknews/exchange.py
@@ -8,7 +8,7 @@
 
 from struct import pack, unpack
 
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 
 AGE_UNKNOWN = 0xFFFF  # ms; an age from here on is not given, and the puller goes on counting from the last one
 
--- a/packages/oaknews/oaknews/node.py
+++ b/packages/oaknews/oaknews/node.py
@@ -10,7 +10,7 @@
 from oakramp.common.constants import CLOCK_JUMP, CLOCK_LOOK, SEED_AGE, WIRE_VERSION
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import Repeater
-from oakwire.net import Net
+from oakramp.rpc.net import Net
 
 RELEASE = "0.1.0"
 
--- a/packages/oaknews/oaknews/puller.py
+++ b/packages/oaknews/oaknews/puller.py
@@ -8,7 +8,7 @@
 from oakramp.common.constants import CONDITION_AGE, FORGET_AGE, PULL_PAUSE, PULL_TIME
 from oakramp.common.tasks import Repeater, settled, sleep, spawn
 from oakramp.common.verdict import OakError
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 
 NODE_SOURCE = "node/"
 
--- a/packages/oakstore/oakstore/anti_entropy.py
+++ b/packages/oakstore/oakstore/anti_entropy.py
@@ -16,9 +16,9 @@
 from oakramp.common.constants import COPY_PAGE_TURNS, RECORD_PAGE, STORE_CALL_TIME, SWEEP_KEYS
 from oakramp.common.tasks import settled
 from oakramp.common.verdict import Fenced, OakError
+from oakramp.rpc.codec import idl
 from oakstore.records import read_header
 from oakstore.table import TURN_LINE, bucket_of, from_state, to_state
-from oakwire.codec import idl
 
 
 class StoreAddress(NamedTuple):
--- a/packages/oakstore/oakstore/store.py
+++ b/packages/oakstore/oakstore/store.py
@@ -31,11 +31,11 @@
 from oakramp.common.tasks import Repeater, quorum_of, sleep, spawn
 from oakramp.common.verdict import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
 from oakramp.common.web import Web
+from oakramp.rpc.codec import idl
 from oakring.ring import Ring
 from oakstore.anti_entropy import AntiEntropy, StoreAddress
 from oakstore.records import read_header
 from oakstore.table import TURN_LINE, LineTable, from_state, to_state
-from oakwire.codec import idl
 
 COVERS = "covers"
 EMPTYING = "emptying"  # a file that stands as long as the folder is being cleared
--- a/packages/oakstore/oakstore/table.py
+++ b/packages/oakstore/oakstore/table.py
@@ -30,8 +30,8 @@
     SWEEP_KEYS,
 )
 from oakramp.common.inbox import TableOwner
+from oakramp.rpc.codec import idl, pack, unpack
 from oakstore.records import RECORD_ROW, RecordTable
-from oakwire.codec import idl, pack, unpack
 
 ROW = "l/"
 SUM_SPAN = 1 << 62
--- a/packages/oakwire/oakwire/net.py
+++ b/packages/rpc/oakramp/rpc/net.py
@@ -36,7 +36,7 @@
     Unreachable,
     error_from,
 )
-from oakwire.codec import arguments_class, idl, pack, pack_frame, result_class, unpack, unpack_frame
+from oakramp.rpc.codec import arguments_class, idl, pack, pack_frame, result_class, unpack, unpack_frame
 
 OPEN_METHODS = frozenset(["pull"])  # what one may ask that is not a member yet
 LENGTH = Struct("!I")  # of the frame that follows
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
 from oaklab.plan import Size
 from oaklab.scale import Sizes, claim_network, control_env, hollow_env, socket_bytes, waiting_time
 from oaklab.simfleet import SimFleet
-from oakwire.net import Connection
+from oakramp.rpc.net import Connection
 
 GIB = 1 << 30
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -15,7 +15,7 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import begin
 from oakramp.common.verdict import NoAnswer
-from oakwire.codec import idl, pack, unpack
+from oakramp.rpc.codec import idl, pack, unpack
 
 
 class Wire:
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -12,7 +12,7 @@
 from oaklab.simfleet import SMALL, SimFleet
 from oakramp.common.constants import ROSTER_MOST, SLOTS, TERM, VIEW_AGE
 from oakramp.common.verdict import CannotTell, Unreachable
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 
 SYNC_S = 4.0  # s; after this the next disk may be lost
 STEP = 0.05  # s of simulated time; how often the owners of slots are looked at
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 
 from oakramp.common.constants import FRAME_LIMIT
-from oakwire.codec import idl, pack, pack_frame, unpack, unpack_frame, unpack_usual
-from oakwire.net import LENGTH, Connection
+from oakramp.rpc.codec import idl, pack, pack_frame, unpack, unpack_frame, unpack_usual
+from oakramp.rpc.net import LENGTH, Connection
 
 
 class Kernel:
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -12,8 +12,8 @@
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.checks import pack_json
 from oakramp.common.logline import LogLine
+from oakramp.rpc.codec import idl
 from oakring.ring import Ring
-from oakwire.codec import idl
 
 RING = 1 << 16  # bytes; a commit holds half of it
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -14,7 +14,7 @@
 from oakramp.common.constants import STEP_PAUSE
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import Fenced, NoAnswer
-from oakwire.codec import idl, pack, unpack
+from oakramp.rpc.codec import idl, pack, unpack
 from test_images import VoterRig, entries_of
 
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -9,7 +9,7 @@
 from oaklab.simfleet import SimFleet
 from oakramp.common.constants import IMAGE_PART, REJOIN, SLOTS, STORES_LEAVING_TIME
 from oakramp.common.verdict import CannotTell, Gone, OakError
-from oakwire.codec import idl
+from oakramp.rpc.codec import idl
 from test_store_forming import Rig
 
 
