--- a/packages/oakrelay/oakrelay/answer.py
+++ b/packages/http_proxy/oakramp/http_proxy/answer.py
@@ -4,7 +4,7 @@
 
 from oakramp.common.constants import PIECES_LIMIT
 from oakramp.common.verdict import Broken, NoAnswer, TooLarge, Verdict
-from oakrelay.headers import WithHeaders
+from oakramp.http_proxy.headers import WithHeaders
 
 WHOLE = object()  # the outcome of an answer that came to its end
 
--- a/packages/oakrelay/oakrelay/caller.py
+++ b/packages/http_proxy/oakramp/http_proxy/caller.py
@@ -5,9 +5,17 @@
 from twisted.internet import defer, protocol
 
 from oakramp.common.constants import EAGER_LIMIT, LINGER_TIME, TRAILER_LIMIT
-from oakrelay.exchange import Exchange
-from oakrelay.framing import BARE_LINE_FEED, TOKEN, ChunkedDecoder, Malformed, body_length, parse_fields, status_line
-from oakrelay.sockets import read_now, send_now, set_options
+from oakramp.http_proxy.exchange import Exchange
+from oakramp.http_proxy.framing import (
+    BARE_LINE_FEED,
+    TOKEN,
+    ChunkedDecoder,
+    Malformed,
+    body_length,
+    parse_fields,
+    status_line,
+)
+from oakramp.http_proxy.sockets import read_now, send_now, set_options
 
 _REQUEST_LINE = re.compile(rb"(" + TOKEN + rb") (/[\x21-\x7e]*) HTTP/1\.1\r\n")
 _HOST = re.compile(rb"([^\s:/?#@\[\],]+|\[[0-9A-Fa-f:.]+\])(?::[0-9]*)?")
--- a/packages/oakrelay/oakrelay/exchange.py
+++ b/packages/http_proxy/oakramp/http_proxy/exchange.py
@@ -2,9 +2,9 @@
 
 from twisted.internet import defer
 
-from oakrelay.framing import HOP_BY_HOP, join_head, status_line
-from oakrelay.headers import WithHeaders
-from oakrelay.sockets import send_now
+from oakramp.http_proxy.framing import HOP_BY_HOP, join_head, status_line
+from oakramp.http_proxy.headers import WithHeaders
+from oakramp.http_proxy.sockets import send_now
 
 _BODILESS = frozenset((204, 304))
 
--- a/packages/oakrelay/oakrelay/front.py
+++ b/packages/http_proxy/oakramp/http_proxy/front.py
@@ -11,7 +11,7 @@
 from oakramp.common.constants import BODIES_LIMIT, CALLERS_LIMIT, QUIET_TIME
 from oakramp.common.env import split_address
 from oakramp.common.tasks import sleep
-from oakrelay.caller import Caller
+from oakramp.http_proxy.caller import Caller
 
 
 class _Callers(protocol.Factory):
--- a/packages/oakrelay/oakrelay/upstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/upstream.py
@@ -12,9 +12,9 @@
 from oakramp.common.constants import CONNECT_TIME
 from oakramp.common.env import split_address
 from oakramp.common.verdict import BadRequest, Overloaded, TimeSpent, Unreachable
-from oakrelay.connection import Dial, ReplicaConnection
-from oakrelay.framing import HOP_BY_HOP, TOKEN, Malformed, join_head
-from oakrelay.sockets import is_quiet
+from oakramp.http_proxy.connection import Dial, ReplicaConnection
+from oakramp.http_proxy.framing import HOP_BY_HOP, TOKEN, Malformed, join_head
+from oakramp.http_proxy.sockets import is_quiet
 
 _METHOD = re.compile(TOKEN)
 _TARGET = re.compile(rb"/[\x21-\x7e]*")
--- a/packages/oakgate/oakgate/relay_node.py
+++ b/packages/oakgate/oakgate/relay_node.py
@@ -23,8 +23,8 @@
 from oakramp.common.tasks import sleep
 from oakramp.common.verdict import CannotTell, Overloaded
 from oakramp.common.web import Web
-from oakrelay.front import Front
-from oakrelay.upstream import Upstreams
+from oakramp.http_proxy.front import Front
+from oakramp.http_proxy.upstream import Upstreams
 from oakstore.turns import TurnClient
 
 
--- a/tests/relay_wire.py
+++ b/tests/relay_wire.py
@@ -7,7 +7,7 @@
 from zope.interface import implementer
 
 from oakramp.common.logline import LogLine
-from oakrelay.front import Front
+from oakramp.http_proxy.front import Front
 
 
 class Limits:
