--- a/packages/oaklab/oaklab/work.py
+++ b/packages/oaklab/oaklab/work.py
@@ -12,12 +12,12 @@
 from oakcontrol.owner import Context, SlotOwner, View
 from oakcontrol.slots import pack_entry, slot_of_key
 from oakcontrol.voter import Voter, entry_key
-from oakdvv.clock import Clock
 from oaklab.simdisk import SimDisk
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.logline import LogLine
 from oakramp.rpc.codec import pack
 from oakramp.storage.ring import Ring
+from oakramp.version_vectors.clock import Clock
 from oakstore.table import LineRow, LineTable, to_state
 
 ENDPOINT = "127.0.0.1"
--- a/packages/oakstore/oakstore/lines.py
+++ b/packages/oakstore/oakstore/lines.py
@@ -6,12 +6,12 @@
 from oakcohort.members import LIVE
 from oakcohort.rendezvous import ranked
 from oakcontrol.storeset import STORES_KEY, StoreSet, majority
-from oakdvv.clock import sync_versions
-from oakdvv.context import to_context
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
 from oakramp.common.tasks import quorum_of, sleep
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
+from oakramp.version_vectors.clock import sync_versions
+from oakramp.version_vectors.context import to_context
 from oakstore.store_calls import StoreCalls
 from oakstore.table import from_state
 
--- a/packages/oakstore/oakstore/store.py
+++ b/packages/oakstore/oakstore/store.py
@@ -9,7 +9,6 @@
 
 from oakcohort.members import LIVE
 from oakcontrol.storeset import STORES_KEY, StoreSet, majority
-from oakdvv.context import from_context, to_context
 from oaknews.node import Node
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
@@ -33,6 +32,7 @@
 from oakramp.common.web import Web
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
+from oakramp.version_vectors.context import from_context, to_context
 from oakstore.anti_entropy import AntiEntropy, StoreAddress
 from oakstore.records import read_header
 from oakstore.table import TURN_LINE, LineTable, from_state, to_state
--- a/packages/oakstore/oakstore/table.py
+++ b/packages/oakstore/oakstore/table.py
@@ -16,8 +16,6 @@
 from sortedcontainers import SortedDict, SortedList
 
 from oakcohort.rendezvous import slot_of
-from oakdvv.clock import Clock, sync_versions, update
-from oakdvv.context import clock_to_row
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     FULL_SHARE,
@@ -31,6 +29,8 @@
 )
 from oakramp.common.inbox import TableOwner
 from oakramp.rpc.codec import idl, pack, unpack
+from oakramp.version_vectors.clock import Clock, sync_versions, update
+from oakramp.version_vectors.context import clock_to_row
 from oakstore.records import RECORD_ROW, RecordTable
 
 ROW = "l/"
--- a/packages/oakstore/oakstore/turns.py
+++ b/packages/oakstore/oakstore/turns.py
@@ -8,8 +8,6 @@
 
 from oakcohort.rendezvous import ranked
 from oakcontrol.storeset import STORES_KEY, StoreSet, majority
-from oakdvv.clock import sync_versions
-from oakdvv.context import to_context
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     CONDITION_AGE,
@@ -23,6 +21,8 @@
 )
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
+from oakramp.version_vectors.clock import sync_versions
+from oakramp.version_vectors.context import to_context
 from oakstore.records import pack_record, read_bodies, read_header
 from oakstore.store_calls import HeldBack, StoreCalls
 from oakstore.table import TURN_LINE, from_state, pack_turns, turns_in
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -7,7 +7,6 @@
 from hypothesis import given, settings, strategies as st
 
 from oakcontrol.slots import slot_of_key
-from oakdvv.clock import Clock, leq
 from oaklab.simdisk import SimDisk
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
@@ -16,6 +15,7 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import spawn
 from oakramp.storage.ring import Ring
+from oakramp.version_vectors.clock import Clock, leq
 from oakstore.table import LineTable, store_of
 
 
