--- a/packages/oakcohort/oakcohort/members.py
+++ b/packages/membership/oakramp/membership/members.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, fields
 
-from oakcohort.rendezvous import named
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE, FORGET_AGE
+from oakramp.membership.rendezvous import named
 
 LIVE, SILENT, LEAVING, PARTED = "live", "silent", "leaving", "parted"
 
--- a/packages/oakcontrol/oakcontrol/blueprint.py
+++ b/packages/oakcontrol/oakcontrol/blueprint.py
@@ -11,7 +11,6 @@
 
 from schema import And, Optional
 
-from oakcohort.rendezvous import slot_of
 from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, Controller
 from oakcontrol.places import REPLICAS_KEY
 from oakramp.common.checks import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
@@ -25,6 +24,7 @@
 )
 from oakramp.common.registry import Registry
 from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, Lost, Unknown, Verdict
+from oakramp.membership.rendezvous import slot_of
 
 BINDING = {
     "kind": one_of("model", "plain"),
--- a/packages/oakcontrol/oakcontrol/owner.py
+++ b/packages/oakcontrol/oakcontrol/owner.py
@@ -6,8 +6,6 @@
 
 from twisted.internet import defer
 
-from oakcohort.members import LIVE
-from oakcohort.rendezvous import ranked
 from oakcontrol.contact import Contact
 from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
 from oakcontrol.preparation import Preparation, is_moving
@@ -40,6 +38,8 @@
 from oakramp.common.inbox import Inbox
 from oakramp.common.tasks import Repeater, drive, sleep, spawn, within
 from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
+from oakramp.membership.members import LIVE
+from oakramp.membership.rendezvous import ranked
 from oakramp.rpc.codec import idl, pack
 
 
--- a/packages/oakcontrol/oakcontrol/roster.py
+++ b/packages/oakcontrol/oakcontrol/roster.py
@@ -27,7 +27,6 @@
 
 from schema import And
 
-from oakcohort.members import LIVE
 from oakcontrol.controllers import CONTROLLERS, Controller
 from oakcontrol.duty import Duty
 from oakramp.common.checks import NAME, check_fields, pack_json, whole
@@ -46,6 +45,7 @@
 from oakramp.common.env import ADDRESS
 from oakramp.common.tasks import quorum_of, sleep, spawn
 from oakramp.common.verdict import CannotTell, Conflict, Lost, Refused, Unknown
+from oakramp.membership.members import LIVE
 
 ROSTER_KEY = "roster"
 MEMBER = {"nodeId": NAME, "peer": ADDRESS}
--- a/packages/oakcontrol/oakcontrol/storeset.py
+++ b/packages/oakcontrol/oakcontrol/storeset.py
@@ -31,7 +31,6 @@
 
 from schema import And, Optional
 
-from oakcohort.members import LEAVING, LIVE
 from oakcontrol.controllers import CONTROLLERS, Controller
 from oakcontrol.duty import Duty
 from oakramp.common.checks import NAME, check_fields, pack_json, whole
@@ -51,6 +50,7 @@
 from oakramp.common.env import ADDRESS
 from oakramp.common.tasks import quorum_of, settled, sleep
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Lost, OakError, Refused, Unknown
+from oakramp.membership.members import LEAVING, LIVE
 
 STORES_KEY = "storeset"
 STORE = {"nodeId": NAME, "peer": ADDRESS}
--- a/packages/oakctl/oakctl/disk.py
+++ b/packages/oakctl/oakctl/disk.py
@@ -3,7 +3,7 @@
 import json
 import os
 
-from oakcohort.identity import IDENTITY_FILE
+from oakramp.membership.identity import IDENTITY_FILE
 from oakramp.storage.check import RING_FILE, check_ring
 from oakramp.storage.disk import UNFINISHED
 from oakstore.store import EMPTYING
--- a/packages/oakgate/oakgate/balancer.py
+++ b/packages/oakgate/oakgate/balancer.py
@@ -15,7 +15,6 @@
 
 from twisted.internet import defer
 
-from oakcohort.rendezvous import score
 from oakcontrol.places import REPLICAS_KEY
 from oakgate.outliers import Outliers
 from oakramp.common.constants import (
@@ -32,6 +31,7 @@
 )
 from oakramp.common.tasks import within
 from oakramp.common.verdict import Overloaded, TimeSpent
+from oakramp.membership.rendezvous import score
 
 
 @dataclass
--- a/packages/oakgate/oakgate/placer.py
+++ b/packages/oakgate/oakgate/placer.py
@@ -7,7 +7,6 @@
 
 from twisted.internet import defer
 
-from oakcohort.rendezvous import ranked
 from oakramp.common.constants import (
     CONTENDED_SHARE,
     DESCRIBE_PAUSE,
@@ -21,6 +20,7 @@
 )
 from oakramp.common.tasks import Repeater, spawn, within
 from oakramp.common.verdict import OakError, Overloaded, Rebound, TimeSpent, Unknown
+from oakramp.membership.rendezvous import ranked
 
 URGENCY = {"urgent": 0, "normal": 1, "patient": 2}
 DESCRIBED_AGE = 5 * DESCRIBE_PAUSE  # s; a description older than this says nothing about the weight
--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/oaklab/oaklab/capacity.py
@@ -16,7 +16,6 @@
 
 from sortedcontainers import SortedDict
 
-from oakcohort.members import SILENT, Member
 from oakcontrol.client import OwnerClient
 from oakcontrol.controllers import CONTROLLERS
 from oakcontrol.owner import Context, View
@@ -35,6 +34,7 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, spawn
+from oakramp.membership.members import SILENT, Member
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.rpc.net import Connection
 from oakramp.storage.ring import Ring
--- a/packages/oaklab/oaklab/eviction.py
+++ b/packages/oaklab/oaklab/eviction.py
@@ -9,7 +9,6 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from oakcohort.rendezvous import score
 from oakcontrol.placement import PLACEMENT_KEY
 from oakcontrol.places import REPLICAS_KEY
 from oakgate.balancer import Balancer, Wish
@@ -28,6 +27,7 @@
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import OakError
+from oakramp.membership.rendezvous import score
 
 SERVICE = "lm"
 ZONES = ("za", "zb", "zc")
--- a/packages/oaklab/oaklab/explore/process.py
+++ b/packages/oaklab/oaklab/explore/process.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from oakramp.common.tasks import spawn
-from oakcohort.members import LIVE, SILENT
+from oakramp.membership.members import LIVE, SILENT
 from oakcontrol import owner as owner_module
 from oakcontrol import roster as roster_module
 from oakcontrol import slots as slots_module
--- a/packages/oaklab/oaklab/scale.py
+++ b/packages/oaklab/oaklab/scale.py
@@ -25,7 +25,6 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from oakcohort.members import SILENT
 from oakcontrol.client import OwnerClient
 from oakcontrol.places import REPLICAS_KEY
 from oakctl.asking import ask
@@ -35,6 +34,7 @@
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
 from oakramp.common.verdict import OakError
+from oakramp.membership.members import SILENT
 
 NETWORKS = range(64, 128)  # second bytes of loopback addresses; each run takes one that no other run on the machine has
 CLAIM = "255.1", 7400  # where a run listens, so that others see that its network is taken
--- a/packages/oaklab/oaklab/takeout.py
+++ b/packages/oaklab/oaklab/takeout.py
@@ -743,7 +743,7 @@
     ),
     TakeOut(
         "what is founded is kept until it is done",
-        "oakcohort/oakcohort/identity.py",
+        "membership/oakramp/membership/identity.py",
         'self.founding = kept.get("founding")',
         "self.founding = founding",
         "test_founding.Founding.test_power_cut_of_all_seeds_amid_founding",
@@ -1016,7 +1016,7 @@
     ),
     TakeOut(
         "a ring without its identity",
-        "oakcohort/oakcohort/identity.py",
+        "membership/oakramp/membership/identity.py",
         "            self._refuse_orphaned_ring()\n",
         "            pass\n",
         "test_program.DamagedDisk.test_a_node_whose_disk_is_damaged_stays_and_says_so",
--- a/packages/oaknews/oaknews/puller.py
+++ b/packages/oaknews/oaknews/puller.py
@@ -3,11 +3,11 @@
 import json
 from dataclasses import replace
 
-from oakcohort.members import Member
 from oaknews.exchange import Heard, Told
 from oakramp.common.constants import CONDITION_AGE, FORGET_AGE, PULL_PAUSE, PULL_TIME
 from oakramp.common.tasks import Repeater, settled, sleep, spawn
 from oakramp.common.verdict import OakError
+from oakramp.membership.members import Member
 from oakramp.rpc.codec import idl
 
 NODE_SOURCE = "node/"
--- a/packages/oakstore/oakstore/store.py
+++ b/packages/oakstore/oakstore/store.py
@@ -7,7 +7,6 @@
 
 from twisted.internet import defer
 
-from oakcohort.members import LIVE
 from oakcontrol.storeset import STORES_KEY, StoreSet, majority
 from oaknews.node import Node
 from oakramp.common.checks import pack_json
@@ -30,6 +29,7 @@
 from oakramp.common.tasks import Repeater, quorum_of, sleep, spawn
 from oakramp.common.verdict import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
 from oakramp.common.web import Web
+from oakramp.membership.members import LIVE
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
 from oakramp.version_vectors.context import from_context, to_context
--- a/packages/oakstore/oakstore/table.py
+++ b/packages/oakstore/oakstore/table.py
@@ -15,7 +15,6 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-from oakcohort.rendezvous import slot_of
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     FULL_SHARE,
@@ -28,6 +27,7 @@
     SWEEP_KEYS,
 )
 from oakramp.common.inbox import TableOwner
+from oakramp.membership.rendezvous import slot_of
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.version_vectors.clock import Clock, sync_versions, update
 from oakramp.version_vectors.context import clock_to_row
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -5,7 +5,6 @@
 import unittest
 from dataclasses import replace
 
-from oakcohort.members import Member, Members
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oaknews.board import Board
@@ -15,6 +14,7 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import begin
 from oakramp.common.verdict import NoAnswer
+from oakramp.membership.members import Member, Members
 from oakramp.rpc.codec import idl, pack, unpack
 
 
