--- a/packages/oaknews/oaknews/node.py
+++ b/packages/gossip/oakramp/gossip/node.py
@@ -3,11 +3,11 @@
 
 import time
 
-from oaknews.board import Board
-from oaknews.puller import Puller
 from oakramp.common.constants import CLOCK_JUMP, CLOCK_LOOK, SEED_AGE, WIRE_VERSION
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import Repeater
+from oakramp.gossip.board import Board
+from oakramp.gossip.puller import Puller
 from oakramp.membership.identity import Identity
 from oakramp.membership.members import Member, Members
 from oakramp.rpc.net import Net
--- a/packages/oaknews/oaknews/program.py
+++ b/packages/gossip/oakramp/gossip/program.py
@@ -8,12 +8,12 @@
 
 from twisted.internet.error import CannotListenError
 
-from oaknews.damaged import DamagedNode
 from oakramp.common.constants import ENV_LOOK, STOP_MARGIN, STOP_TIME
 from oakramp.common.env import env_of_daemon
 from oakramp.common.logline import FORMATS, LEVELS, set_level, skip_unused_record_fields, stderr_sink
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn, within
 from oakramp.common.verdict import EnvError, OakError, RingDamaged
+from oakramp.gossip.damaged import DamagedNode
 from oakramp.storage.disk import FolderDisk
 
 
--- a/packages/oaknews/oaknews/puller.py
+++ b/packages/gossip/oakramp/gossip/puller.py
@@ -3,10 +3,10 @@
 import json
 from dataclasses import replace
 
-from oaknews.exchange import Heard, Told
 from oakramp.common.constants import CONDITION_AGE, FORGET_AGE, PULL_PAUSE, PULL_TIME
 from oakramp.common.tasks import Repeater, settled, sleep, spawn
 from oakramp.common.verdict import OakError
+from oakramp.gossip.exchange import Heard, Told
 from oakramp.membership.members import Member
 from oakramp.rpc.codec import idl
 
--- a/packages/oakcontrol/oakcontrol/control.py
+++ b/packages/oakcontrol/oakcontrol/control.py
@@ -24,12 +24,12 @@
 from oakcontrol.roster import RosterWatch
 from oakcontrol.storeset import StoreSetWatch
 from oakcontrol.voter import Voter
-from oaknews.node import Node
 from oakramp.common.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
 from oakramp.common.metrics import Metrics, serve_metrics
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.common.verdict import OakError
 from oakramp.common.web import Web
+from oakramp.gossip.node import Node
 from oakramp.storage.ring import Ring
 
 
--- a/packages/oakcontrol/oakcontrol/daemon.py
+++ b/packages/oakcontrol/oakcontrol/daemon.py
@@ -1,8 +1,8 @@
 """oakcored: a control node."""
 
 from oakcontrol.control import ControlNode
-from oaknews.program import run_daemon
 from oakramp.common.env import CONTROL_ENV
+from oakramp.gossip.program import run_daemon
 
 
 def main():
--- a/packages/oakgate/oakgate/base.py
+++ b/packages/oakgate/oakgate/base.py
@@ -3,11 +3,11 @@
 import itertools
 
 from oakcontrol.client import OwnerClient
-from oaknews.node import Node
 from oakramp.common.constants import RETRY_AFTER, SETTLE_INBOX
 from oakramp.common.metrics import Metrics
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import Overloaded
+from oakramp.gossip.node import Node
 
 SETTLED_LOOK = 0.1  # s; how often a stopping gate looks whether everything is settled
 
--- a/packages/oakgate/oakgate/daemon.py
+++ b/packages/oakgate/oakgate/daemon.py
@@ -1,8 +1,8 @@
 """oakgated: a gate node."""
 
 from oakgate.gate import GateNode
-from oaknews.program import run_daemon
 from oakramp.common.env import COMMON_ENV
+from oakramp.gossip.program import run_daemon
 
 
 def main():
--- a/packages/oakgate/oakgate/outliers.py
+++ b/packages/oakgate/oakgate/outliers.py
@@ -12,7 +12,6 @@
 import json
 from collections import deque
 
-from oaknews.puller import NODE_SOURCE
 from oakramp.common.constants import (
     LATE_LEAST,
     LATE_LOOK,
@@ -25,6 +24,7 @@
     OUTLIER_TELL,
     OUTLIER_WINDOW,
 )
+from oakramp.gossip.puller import NODE_SOURCE
 
 FAULTS = "faults"  # the item of a gate's row in the news
 
--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/oaklab/oaklab/capacity.py
@@ -28,12 +28,12 @@
 from oaklab.simdisk import SimDisk
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oaknews.board import Board
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import ALLOWANCE_CLOSED
 from oakramp.common.logline import LogLine
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, spawn
+from oakramp.gossip.board import Board
 from oakramp.membership.members import SILENT, Member
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.rpc.net import Connection
--- a/packages/oaklab/oaklab/commands.py
+++ b/packages/oaklab/oaklab/commands.py
@@ -17,10 +17,10 @@
 from oaklab.plan import NETWORK, Machine, Size, env_of
 from oaklab.simfleet import SimFleet
 from oaklab.work import calls_of
-from oaknews.node import Node
 from oakramp.common.logline import stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
 from oakramp.common.verdict import OakError
+from oakramp.gossip.node import Node
 
 TICKS = os.sysconf("SC_CLK_TCK")
 CLIENT = Machine("bench0", "gate", "zone0", f"{NETWORK}.240.1")
--- a/packages/oaklab/oaklab/eviction.py
+++ b/packages/oaklab/oaklab/eviction.py
@@ -15,7 +15,6 @@
 from oakgate.placement import Placement
 from oaklab.engine import Engine, Job, Kind
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oaknews.board import Board
 from oakprefix.counters import tenant_of
 from oakprefix.decision import Decision
 from oakprefix.detector import Load, Window
@@ -27,6 +26,7 @@
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import OakError
+from oakramp.gossip.board import Board
 from oakramp.membership.rendezvous import score
 
 SERVICE = "lm"
--- a/packages/oaklab/oaklab/explore/process.py
+++ b/packages/oaklab/oaklab/explore/process.py
@@ -13,7 +13,7 @@
 from oakcontrol.owner import Owners, TermRider
 from oakcontrol.roster import RosterWatch
 from oakcontrol.voter import Voter
-from oaknews.board import Board
+from oakramp.gossip.board import Board
 from oakramp.storage.ring import Ring
 from oakramp.rpc.codec import idl
 from oaklab.explore.clock import ModelClock
@@ -98,7 +98,7 @@
 
 
 class Process:
-    """One run of the control program on a machine. It has the attributes of `oaknews.node.Node` that its parts read.
+    """One run of the control program on a machine. It has the attributes of `oakramp.gossip.node.Node` that its parts read.
 
     Invariant: nothing that it schedules or sends after `end` has any effect."""
 
--- a/packages/oaklab/oaklab/scale.py
+++ b/packages/oaklab/oaklab/scale.py
@@ -30,10 +30,10 @@
 from oakctl.asking import ask
 from oaklab.capacity import replica_rows, wire_meter
 from oaklab.plan import blueprint_of
-from oaknews.node import Node
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
 from oakramp.common.verdict import OakError
+from oakramp.gossip.node import Node
 from oakramp.membership.members import SILENT
 
 NETWORKS = range(64, 128)  # second bytes of loopback addresses; each run takes one that no other run on the machine has
--- a/packages/oaklab/oaklab/takeout.py
+++ b/packages/oaklab/oaklab/takeout.py
@@ -532,7 +532,7 @@
     ),
     TakeOut(
         "an heir that was behind gives whole images",
-        "oaknews/oaknews/board.py",
+        "gossip/oakramp/gossip/board.py",
         "        if is_taken_up and image.version:\n",
         "        if False:\n",
         "test_news_takeover.TakeOver.test_new_owner_that_had_not_heard_of_a_version_which_others_have",
@@ -827,7 +827,7 @@
     ),
     TakeOut(
         "who stops says so before it stops",
-        "oaknews/oaknews/puller.py",
+        "gossip/oakramp/gossip/puller.py",
         'self.describe(replace(self._me, state="leaving"))',
         "pass",
         "test_failover.PlannedStopTest.test_planned_stop_holds_no_order_for_long",
@@ -946,7 +946,7 @@
     ),
     TakeOut(
         "a node whose disk is damaged stays",
-        "oaknews/oaknews/program.py",
+        "gossip/oakramp/gossip/program.py",
         "except RingDamaged as error:",
         "except ZeroDivisionError as error:",
         "test_program.DamagedDisk.test_a_node_whose_disk_is_damaged_stays_and_says_so",
@@ -1205,7 +1205,7 @@
     ),
     TakeOut(
         "a source that is behind takes nothing back",
-        "oaknews/oaknews/board.py",
+        "gossip/oakramp/gossip/board.py",
         "            if received.version < image.version:\n                continue\n",
         "",
         "test_routing.RouterTest.test_older_news_confirm_nothing",
--- a/packages/oakstore/oakstore/daemon.py
+++ b/packages/oakstore/oakstore/daemon.py
@@ -1,7 +1,7 @@
 """oakstored: a store node."""
 
-from oaknews.program import run_daemon
 from oakramp.common.env import DISK_ENV
+from oakramp.gossip.program import run_daemon
 from oakstore.store import StoreNode
 
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -8,9 +8,9 @@
 from oakcontrol import budget, claim  # noqa: F401  they enter their controllers
 from oakcontrol.controllers import CONTROLLERS
 from oakcontrol.owner import Context, View
-from oaknews.board import Board
 from oakramp.common.constants import TURNS_LIMIT
 from oakramp.common.verdict import OakError
+from oakramp.gossip.board import Board
 
 
 class Members:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -7,13 +7,13 @@
 
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oaknews.board import Board
-from oaknews.exchange import Heard, Told, pack_ages, unpack_ages
-from oaknews.puller import Puller
 from oakramp.common.constants import FORGET_AGE
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import begin
 from oakramp.common.verdict import NoAnswer
+from oakramp.gossip.board import Board
+from oakramp.gossip.exchange import Heard, Told, pack_ages, unpack_ages
+from oakramp.gossip.puller import Puller
 from oakramp.membership.members import Member, Members
 from oakramp.rpc.codec import idl, pack, unpack
 
--- a/tests/test_gates_catching_up.py
+++ b/tests/test_gates_catching_up.py
@@ -9,11 +9,11 @@
 from oakcontrol.routing import ROUTING_KEY, document_from, pieces_of
 from oakcontrol.slots import pack_entry, slot_of_key
 from oakgate.routing import Router
-from oaknews.board import Board
 from oakplatform.dialect import Dialect
 from oakplatform.routes import routing_of
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, GONE_LIMIT
 from oakramp.common.logline import LogLine
+from oakramp.gossip.board import Board
 from relay_fleet import RelayFleet, route
 
 SOURCE = "routing"
--- a/tests/test_news_takeover.py
+++ b/tests/test_news_takeover.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from oaknews.board import Board
+from oakramp.gossip.board import Board
 
 SOURCE = "s"
 
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -8,9 +8,9 @@
 from twisted.internet import task
 
 from oakgate.outliers import FAULTS, Outliers
-from oaknews.board import Board
 from oakramp.common.constants import LATE_LEAST, LATE_TIMES, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
 from oakramp.common.logline import LogLine
+from oakramp.gossip.board import Board
 
 
 class Fleet:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -20,11 +20,11 @@
     table_faults,
 )
 from oakgate.routing import Route, Router
-from oaknews.board import Board
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import CHANGES_REMEMBERED
 from oakramp.common.logline import LogLine
 from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
+from oakramp.gossip.board import Board
 from test_budgets import Rig
 
 DOCUMENT = {
