--- a/packages/oakcontrol/oakcontrol/placement.py
+++ b/packages/oakcontrol/oakcontrol/placement.py
@@ -13,8 +13,6 @@
 from oakcontrol.controllers import CONTROLLERS, Controller
 from oakcontrol.duty import Duty
 from oakcontrol.places import REPLICAS_KEY
-from oakprefix.decision import Decision
-from oakprefix.detector import Window
 from oakramp.common.checks import NAME, check_fields, one_of, pack_json, whole
 from oakramp.common.constants import (
     EVICTION_ROUND,
@@ -25,6 +23,8 @@
     TENANTS_TOLD,
 )
 from oakramp.common.env import EVICTION_MODES, eviction_mode
+from oakramp.prefix_cache.decision import Decision
+from oakramp.prefix_cache.detector import Window
 
 PLACEMENT_KEY = "placement"
 ROWS = f"{PLACEMENT_KEY}#"
--- a/packages/oakgate/oakgate/relay_carrier.py
+++ b/packages/oakgate/oakgate/relay_carrier.py
@@ -19,7 +19,6 @@
     stops_with_caller,
     when_gone,
 )
-from oakprefix.counters import tenant_of
 from oakramp.common.constants import (
     CALL_TIME,
     PATIENCE_SHARE,
@@ -41,6 +40,7 @@
     Unreachable,
     Verdict,
 )
+from oakramp.prefix_cache.counters import tenant_of
 
 
 class Carrier:
--- a/packages/oaklab/oaklab/eviction.py
+++ b/packages/oaklab/oaklab/eviction.py
@@ -15,10 +15,6 @@
 from oakgate.placement import Placement
 from oaklab.engine import Engine, Job, Kind
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oakprefix.counters import tenant_of
-from oakprefix.decision import Decision
-from oakprefix.detector import Load, Window
-from oakprefix.planner import plan_of
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
 from oakramp.common.logline import LogLine
@@ -28,6 +24,10 @@
 from oakramp.common.verdict import OakError
 from oakramp.gossip.board import Board
 from oakramp.membership.rendezvous import score
+from oakramp.prefix_cache.counters import tenant_of
+from oakramp.prefix_cache.decision import Decision
+from oakramp.prefix_cache.detector import Load, Window
+from oakramp.prefix_cache.planner import plan_of
 
 SERVICE = "lm"
 ZONES = ("za", "zb", "zc")
--- a/packages/oakprefix/oakprefix/decision.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/decision.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from oakprefix.detector import Detector, findings_of
-from oakprefix.planner import is_worth, plan_of
+from oakramp.prefix_cache.detector import Detector, findings_of
+from oakramp.prefix_cache.planner import is_worth, plan_of
 
 
 @dataclass(frozen=True)
--- a/packages/oakprefix/oakprefix/detector.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/detector.py
@@ -11,7 +11,6 @@
 from collections import deque
 from dataclasses import dataclass, replace
 
-from oakprefix.cache_model import characteristic_time, hit_share
 from oakramp.common.constants import (
     CACHE_USABLE,
     COMMON_SHARE,
@@ -26,6 +25,7 @@
     TRAP_REQUESTS,
     TRAP_ROUNDS,
 )
+from oakramp.prefix_cache.cache_model import characteristic_time, hit_share
 
 
 @dataclass(frozen=True)
--- a/packages/oakprefix/oakprefix/planner.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/planner.py
@@ -8,8 +8,6 @@
 
 import math
 
-from oakprefix.cache_model import characteristic_time, held, hit_share
-from oakprefix.detector import pressure
 from oakramp.common.constants import (
     BIN_SHARE,
     CACHE_USABLE,
@@ -19,6 +17,8 @@
     TENANT_REPLICAS,
     TENANTS_MOVED,
 )
+from oakramp.prefix_cache.cache_model import characteristic_time, held, hit_share
+from oakramp.prefix_cache.detector import pressure
 
 
 class _Bins:
--- a/tests/test_prefix.py
+++ b/tests/test_prefix.py
@@ -6,10 +6,6 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakprefix.cache_model import characteristic_time, hit_share
-from oakprefix.counters import TenantCounters, tenant_of
-from oakprefix.detector import Detector, Load, Window, findings_of
-from oakprefix.planner import is_worth, plan_of, read_again
 from oakramp.common.constants import (
     CACHE_TIME_MOST,
     CACHE_USABLE,
@@ -25,6 +21,10 @@
     TENANTS_TOLD,
     TRAP_ROUNDS,
 )
+from oakramp.prefix_cache.cache_model import characteristic_time, hit_share
+from oakramp.prefix_cache.counters import TenantCounters, tenant_of
+from oakramp.prefix_cache.detector import Detector, Load, Window, findings_of
+from oakramp.prefix_cache.planner import is_worth, plan_of, read_again
 
 CACHE = 60000
 REPLICAS = [f"r{number}" for number in range(8)]
