--- a/packages/oakcontrol/oakcontrol/allowance.py
+++ b/packages/control/oakramp/control/allowance.py
@@ -16,10 +16,10 @@
 
 from schema import And
 
-from oakcontrol.controllers import CONTROLLERS, Controller
 from oakramp.common.checks import NAME, check_fields, whole
 from oakramp.common.constants import ALLOWANCE_CLOSED, ALLOWANCE_KEPT, ALLOWANCE_OPEN, CONDITION_AGE, UNITS_LIMIT
 from oakramp.common.verdict import BadRequest, InProgress, Overloaded, Refused, Unknown
+from oakramp.control.controllers import CONTROLLERS, Controller
 
 TURN = And(str, len, error="must be a turn's id")
 ADMISSION = {"turn": TURN, "reserve": whole(1, UNITS_LIMIT), "limit": whole(0, UNITS_LIMIT), "gate": NAME}
--- a/packages/oakcontrol/oakcontrol/blueprint.py
+++ b/packages/control/oakramp/control/blueprint.py
@@ -11,8 +11,6 @@
 
 from schema import And, Optional
 
-from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, Controller
-from oakcontrol.places import REPLICAS_KEY
 from oakramp.common.checks import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
 from oakramp.common.constants import (
     BLUEPRINTS_KEPT,
@@ -24,6 +22,8 @@
 )
 from oakramp.common.registry import Registry
 from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, Lost, Unknown, Verdict
+from oakramp.control.controllers import CONTROLLERS, SLOT_SOURCE, Controller
+from oakramp.control.places import REPLICAS_KEY
 from oakramp.membership.rendezvous import slot_of
 
 BINDING = {
--- a/packages/oakcontrol/oakcontrol/client.py
+++ b/packages/control/oakramp/control/client.py
@@ -4,10 +4,6 @@
 
 from twisted.internet.defer import CancelledError
 
-from oakcontrol.contact import answers_now
-from oakcontrol.controllers import SLOT_SOURCE
-from oakcontrol.moves import OwnerMoves
-from oakcontrol.slots import slot_of_key
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     MAJORITY_DOUBT,
@@ -20,6 +16,10 @@
 )
 from oakramp.common.tasks import begin, shielded, sleep, spawn
 from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, Verdict
+from oakramp.control.contact import answers_now
+from oakramp.control.controllers import SLOT_SOURCE
+from oakramp.control.moves import OwnerMoves
+from oakramp.control.slots import slot_of_key
 
 # Codes of errors that say nothing of the key: no answer came, or it came from who is no owner.
 NO_OWNERS_WORD = frozenset(["noAnswer", "unreachable", "overloaded", "timeSpent", "noMethod", "fenced"])
--- a/packages/oakcontrol/oakcontrol/control.py
+++ b/packages/control/oakramp/control/control.py
@@ -2,7 +2,12 @@
 
 import time
 
-from oakcontrol import (  # noqa: F401  each enters its controller
+from oakramp.common.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
+from oakramp.common.metrics import Metrics, serve_metrics
+from oakramp.common.tasks import settled, sleep, spawn
+from oakramp.common.verdict import OakError
+from oakramp.common.web import Web
+from oakramp.control import (  # noqa: F401  each enters its controller
     allowance,
     blueprint,
     budget,
@@ -13,22 +18,17 @@
     routing,
     storeset,
 )
-from oakcontrol.admin import Admin
-from oakcontrol.client import MajorityClient, OwnerClient
-from oakcontrol.founding import found, founding_of
-from oakcontrol.lapse import LapseWatch
-from oakcontrol.operator import Operator
-from oakcontrol.owner import Owners, TermRider
-from oakcontrol.placement import PlacementWatch
-from oakcontrol.platform import PlatformWatch
-from oakcontrol.roster import RosterWatch
-from oakcontrol.storeset import StoreSetWatch
-from oakcontrol.voter import Voter
-from oakramp.common.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
-from oakramp.common.metrics import Metrics, serve_metrics
-from oakramp.common.tasks import settled, sleep, spawn
-from oakramp.common.verdict import OakError
-from oakramp.common.web import Web
+from oakramp.control.admin import Admin
+from oakramp.control.client import MajorityClient, OwnerClient
+from oakramp.control.founding import found, founding_of
+from oakramp.control.lapse import LapseWatch
+from oakramp.control.operator import Operator
+from oakramp.control.owner import Owners, TermRider
+from oakramp.control.placement import PlacementWatch
+from oakramp.control.platform import PlatformWatch
+from oakramp.control.roster import RosterWatch
+from oakramp.control.storeset import StoreSetWatch
+from oakramp.control.voter import Voter
 from oakramp.gossip.node import Node
 from oakramp.storage.ring import Ring
 
--- a/packages/oakcontrol/oakcontrol/daemon.py
+++ b/packages/control/oakramp/control/daemon.py
@@ -1,7 +1,7 @@
 """oakcored: a control node."""
 
-from oakcontrol.control import ControlNode
 from oakramp.common.env import CONTROL_ENV
+from oakramp.control.control import ControlNode
 from oakramp.gossip.program import run_daemon
 
 
--- a/packages/oakcontrol/oakcontrol/duty.py
+++ b/packages/control/oakramp/control/duty.py
@@ -1,8 +1,8 @@
 """A duty that one node does at a time: the owner of a key. It changes hands with the key's slot, and whatever a
 former holder still asks for is fenced by the slot's epoch or lost against a newer version."""
 
-from oakcontrol.slots import slot_of_key
 from oakramp.common.tasks import Repeater
+from oakramp.control.slots import slot_of_key
 
 
 class Duty:
--- a/packages/oakcontrol/oakcontrol/moves.py
+++ b/packages/control/oakramp/control/moves.py
@@ -10,10 +10,10 @@
 
 from twisted.internet.defer import Deferred
 
-from oakcontrol.controllers import SLOT_SOURCE
 from oakramp.common.constants import OWNER_LEFT_PAUSE
 from oakramp.common.tasks import begin
 from oakramp.common.verdict import NoAnswer
+from oakramp.control.controllers import SLOT_SOURCE
 
 
 class OwnerMoves:
--- a/packages/oakcontrol/oakcontrol/owner.py
+++ b/packages/control/oakramp/control/owner.py
@@ -6,12 +6,6 @@
 
 from twisted.internet import defer
 
-from oakcontrol.contact import Contact
-from oakcontrol.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
-from oakcontrol.preparation import Preparation, is_moving
-from oakcontrol.replication import Offer, SlotProgress, StepBatcher, VoterUpdates
-from oakcontrol.slots import slot_of_key
-from oakcontrol.view import View
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     CALL_TIME,
@@ -38,6 +32,12 @@
 from oakramp.common.inbox import Inbox
 from oakramp.common.tasks import Repeater, drive, sleep, spawn, within
 from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
+from oakramp.control.contact import Contact
+from oakramp.control.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
+from oakramp.control.preparation import Preparation, is_moving
+from oakramp.control.replication import Offer, SlotProgress, StepBatcher, VoterUpdates
+from oakramp.control.slots import slot_of_key
+from oakramp.control.view import View
 from oakramp.membership.members import LIVE
 from oakramp.membership.rendezvous import ranked
 from oakramp.rpc.codec import idl, pack
--- a/packages/oakcontrol/oakcontrol/placement.py
+++ b/packages/control/oakramp/control/placement.py
@@ -10,9 +10,6 @@
 
 from schema import And
 
-from oakcontrol.controllers import CONTROLLERS, Controller
-from oakcontrol.duty import Duty
-from oakcontrol.places import REPLICAS_KEY
 from oakramp.common.checks import NAME, check_fields, one_of, pack_json, whole
 from oakramp.common.constants import (
     EVICTION_ROUND,
@@ -23,6 +20,9 @@
     TENANTS_TOLD,
 )
 from oakramp.common.env import EVICTION_MODES, eviction_mode
+from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.duty import Duty
+from oakramp.control.places import REPLICAS_KEY
 from oakramp.prefix_cache.decision import Decision
 from oakramp.prefix_cache.detector import Window
 
--- a/packages/oakcontrol/oakcontrol/places.py
+++ b/packages/control/oakramp/control/places.py
@@ -2,11 +2,11 @@
 
 from schema import Optional, Or
 
-from oakcontrol.controllers import CONTROLLERS, Controller
 from oakramp.common.checks import NAME, check_fields, faults_of, one_of, pack_json, whole
 from oakramp.common.constants import NAME_LIMIT
 from oakramp.common.env import ADDRESS
 from oakramp.common.verdict import BadRequest, Unknown
+from oakramp.control.controllers import CONTROLLERS, Controller
 
 REPLICAS_KEY = "replicas"
 LABEL = Or(
--- a/packages/oakcontrol/oakcontrol/platform.py
+++ b/packages/control/oakramp/control/platform.py
@@ -16,8 +16,6 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oakcontrol.duty import Duty
-from oakcontrol.places import REPLICAS_KEY, readable
 from oakramp.common.checks import pack_json, parse_json
 from oakramp.common.constants import (
     PLATFORM_BACKOFF,
@@ -35,6 +33,8 @@
 from oakramp.common.fetch import WebClient
 from oakramp.common.tasks import quorum_of, shielded, sleep, within
 from oakramp.common.verdict import CannotTell, OakError, PlatformAway
+from oakramp.control.duty import Duty
+from oakramp.control.places import REPLICAS_KEY, readable
 
 TOO_OFTEN = 429
 STATES = ("ready", "leaving")
--- a/packages/oakcontrol/oakcontrol/preparation.py
+++ b/packages/control/oakramp/control/preparation.py
@@ -2,10 +2,10 @@
 
 from sortedcontainers import SortedDict
 
-from oakcontrol.former import FormerTerms
 from oakramp.common.constants import CALL_TIME, TERM, TERM_RENEW
 from oakramp.common.tasks import quorum_of, sleep
 from oakramp.common.verdict import CannotTell, Fenced
+from oakramp.control.former import FormerTerms
 
 
 def is_moving(error):
--- a/packages/oakcontrol/oakcontrol/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -12,7 +12,6 @@
 
 from twisted.internet import defer
 
-from oakcontrol.slots import ENTRY_COST, in_parts
 from oakramp.common.constants import (
     CALL_TIME,
     IMAGE_PART,
@@ -23,6 +22,7 @@
 )
 from oakramp.common.tasks import spawn, within
 from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError
+from oakramp.control.slots import ENTRY_COST, in_parts
 from oakramp.rpc.codec import idl
 
 
--- a/packages/oakcontrol/oakcontrol/roster.py
+++ b/packages/control/oakramp/control/roster.py
@@ -27,8 +27,6 @@
 
 from schema import And
 
-from oakcontrol.controllers import CONTROLLERS, Controller
-from oakcontrol.duty import Duty
 from oakramp.common.checks import NAME, check_fields, pack_json, whole
 from oakramp.common.constants import (
     CALL_TIME,
@@ -45,6 +43,8 @@
 from oakramp.common.env import ADDRESS
 from oakramp.common.tasks import quorum_of, sleep, spawn
 from oakramp.common.verdict import CannotTell, Conflict, Lost, Refused, Unknown
+from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.duty import Duty
 from oakramp.membership.members import LIVE
 
 ROSTER_KEY = "roster"
--- a/packages/oakcontrol/oakcontrol/storeset.py
+++ b/packages/control/oakramp/control/storeset.py
@@ -31,8 +31,6 @@
 
 from schema import And, Optional
 
-from oakcontrol.controllers import CONTROLLERS, Controller
-from oakcontrol.duty import Duty
 from oakramp.common.checks import NAME, check_fields, pack_json, whole
 from oakramp.common.constants import (
     CALL_TIME,
@@ -50,6 +48,8 @@
 from oakramp.common.env import ADDRESS
 from oakramp.common.tasks import quorum_of, settled, sleep
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Lost, OakError, Refused, Unknown
+from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.duty import Duty
 from oakramp.membership.members import LEAVING, LIVE
 
 STORES_KEY = "storeset"
--- a/packages/oakcontrol/oakcontrol/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -8,13 +8,13 @@
 
 from sortedcontainers import SortedDict
 
-from oakcontrol.roster import Roster
-from oakcontrol.slots import ENTRY_COST, in_parts
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import CONTROL_FULL, CONTROL_INBOX, IMAGE_PART, SLOT_FULL, SLOTS, TERM
 from oakramp.common.inbox import TableOwner
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import Fenced, RingFull
+from oakramp.control.roster import Roster
+from oakramp.control.slots import ENTRY_COST, in_parts
 from oakramp.rpc.codec import idl, unpack
 
 
--- a/packages/oakgate/oakgate/bindings.py
+++ b/packages/oakgate/oakgate/bindings.py
@@ -4,11 +4,11 @@
 
 from cachetools import LRUCache
 
-from oakcontrol.blueprint import news_of
-from oakcontrol.places import REPLICAS_KEY
 from oakramp.common.constants import BLUEPRINT_AGE, FRESH_POLL, REPLICA_AGE
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import BadRequest, CannotTell, Refused, Unknown
+from oakramp.control.blueprint import news_of
+from oakramp.control.places import REPLICAS_KEY
 
 
 class Bindings:
--- a/packages/oakgate/oakgate/relay_node.py
+++ b/packages/oakgate/oakgate/relay_node.py
@@ -3,7 +3,6 @@
 import time
 from dataclasses import dataclass
 
-from oakcontrol.places import REPLICAS_KEY
 from oakgate.balancer import Balancer
 from oakgate.base import GateBase
 from oakgate.placement import Placement
@@ -23,6 +22,7 @@
 from oakramp.common.tasks import sleep
 from oakramp.common.verdict import CannotTell, Overloaded
 from oakramp.common.web import Web
+from oakramp.control.places import REPLICAS_KEY
 from oakramp.http_proxy.front import Front
 from oakramp.http_proxy.upstream import Upstreams
 from oakstore.turns import TurnClient
--- a/packages/oakgate/oakgate/routing.py
+++ b/packages/oakgate/oakgate/routing.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from oakcontrol.routing import ROUTING_KEY, document_of, host_of
-from oakcontrol.slots import unpack_entry
 from oakramp.common.constants import ROUTING_AGE, ROUTING_STRETCH
+from oakramp.control.routing import ROUTING_KEY, document_of, host_of
+from oakramp.control.slots import unpack_entry
 
 
 @dataclass(frozen=True)
--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/oaklab/oaklab/capacity.py
@@ -16,13 +16,6 @@
 
 from sortedcontainers import SortedDict
 
-from oakcontrol.client import OwnerClient
-from oakcontrol.controllers import CONTROLLERS
-from oakcontrol.owner import Context, View
-from oakcontrol.places import REPLICAS_KEY
-from oakcontrol.routing import ROUTING_KEY, pieces_of
-from oakcontrol.slots import pack_entry
-from oakcontrol.voter import entry_key
 from oaklab.measure import MEASURES, large_blueprint
 from oaklab.plan import Size, blueprint_of
 from oaklab.simdisk import SimDisk
@@ -33,6 +26,13 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, spawn
+from oakramp.control.client import OwnerClient
+from oakramp.control.controllers import CONTROLLERS
+from oakramp.control.owner import Context, View
+from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.routing import ROUTING_KEY, pieces_of
+from oakramp.control.slots import pack_entry
+from oakramp.control.voter import entry_key
 from oakramp.gossip.board import Board
 from oakramp.membership.members import SILENT, Member
 from oakramp.rpc.codec import idl, pack, unpack
--- a/packages/oaklab/oaklab/commands.py
+++ b/packages/oaklab/oaklab/commands.py
@@ -11,8 +11,6 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakcontrol.client import OwnerClient
-from oakcontrol.slots import slot_of_key
 from oaklab.fleet import Fleet
 from oaklab.plan import NETWORK, Machine, Size, env_of
 from oaklab.simfleet import SimFleet
@@ -20,6 +18,8 @@
 from oakramp.common.logline import stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
 from oakramp.common.verdict import OakError
+from oakramp.control.client import OwnerClient
+from oakramp.control.slots import slot_of_key
 from oakramp.gossip.node import Node
 
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/packages/oaklab/oaklab/explore/invariants.py
+++ b/packages/oaklab/oaklab/explore/invariants.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from oakcontrol.routing import ROUTING_KEY
-from oakcontrol.slots import unpack_entry
 from oaklab.explore.process import SLOT
+from oakramp.control.routing import ROUTING_KEY
+from oakramp.control.slots import unpack_entry
 
 
 @dataclass(frozen=True)
--- a/packages/oaklab/oaklab/explore/mutations.py
+++ b/packages/oaklab/oaklab/explore/mutations.py
@@ -92,8 +92,8 @@
     _take_out("sync before answering"),
 ]
 
-OWNER, VOTER, ROUTING = "oakcontrol.owner", "oakcontrol.voter", "oakcontrol.routing"
-PREPARATION, REPLICATION = "oakcontrol.preparation", "oakcontrol.replication"
+OWNER, VOTER, ROUTING = "oakramp.control.owner", "oakramp.control.voter", "oakramp.control.routing"
+PREPARATION, REPLICATION = "oakramp.control.preparation", "oakramp.control.replication"
 CHECKED_PUT = "    head = _head(view)\n    _check_versions(view, head, arguments)\n    former"  # of a whole document
 PLANTED = [
     Mutation(
@@ -134,7 +134,7 @@
     ),
     Mutation(
         "a member without a disk is counted",
-        "oakcontrol.roster",
+        "oakramp.control.roster",
         "len(node_ids & member_ids.keys()) > len(member_ids) // 2\n            for",
         "len(node_ids & member_ids.keys()) >= len(member_ids) // 2\n            for",
     ),
@@ -220,14 +220,14 @@
     ),
     Mutation(
         "a roster moves on before the images do",
-        "oakcontrol.roster",
+        "oakramp.control.roster",
         "if all(self._slot_roster(slot) >= roster.version for slot in range(SLOTS)) and await",
         "if await",
         REPLACING,
     ),
     Mutation(
         "a roster changes without a joint version",
-        "oakcontrol.roster",
+        "oakramp.control.roster",
         '    record = {"version": record["version"] + 1, "members": record["members"], "next": changed}',
         '    record = {"version": record["version"] + 1, "members": changed, "next": None}',
         REPLACING,
--- a/packages/oaklab/oaklab/explore/process.py
+++ b/packages/oaklab/oaklab/explore/process.py
@@ -4,15 +4,15 @@
 
 from oakramp.common.tasks import spawn
 from oakramp.membership.members import LIVE, SILENT
-from oakcontrol import owner as owner_module
-from oakcontrol import roster as roster_module
-from oakcontrol import slots as slots_module
-from oakcontrol import voter as voter_module
-from oakcontrol.controllers import SLOT_SOURCE
-from oakcontrol.lapse import LapseWatch
-from oakcontrol.owner import Owners, TermRider
-from oakcontrol.roster import RosterWatch
-from oakcontrol.voter import Voter
+from oakramp.control import owner as owner_module
+from oakramp.control import roster as roster_module
+from oakramp.control import slots as slots_module
+from oakramp.control import voter as voter_module
+from oakramp.control.controllers import SLOT_SOURCE
+from oakramp.control.lapse import LapseWatch
+from oakramp.control.owner import Owners, TermRider
+from oakramp.control.roster import RosterWatch
+from oakramp.control.voter import Voter
 from oakramp.gossip.board import Board
 from oakramp.storage.ring import Ring
 from oakramp.rpc.codec import idl
--- a/packages/oaklab/oaklab/explore/world.py
+++ b/packages/oaklab/oaklab/explore/world.py
@@ -6,8 +6,8 @@
 
 from oakramp.common.checks import pack_json
 from oakramp.common.verdict import OakError
-from oakcontrol.roster import ROSTER_KEY, Roster
-from oakcontrol.routing import ROUTING_KEY
+from oakramp.control.roster import ROSTER_KEY, Roster
+from oakramp.control.routing import ROUTING_KEY
 from oakramp.rpc.codec import arguments_class
 from oaklab.explore.disk import ModelDisk
 from oaklab.explore.history import Answer, History
--- a/packages/oaklab/oaklab/scale.py
+++ b/packages/oaklab/oaklab/scale.py
@@ -25,14 +25,14 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from oakcontrol.client import OwnerClient
-from oakcontrol.places import REPLICAS_KEY
 from oakctl.asking import ask
 from oaklab.capacity import replica_rows, wire_meter
 from oaklab.plan import blueprint_of
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
 from oakramp.common.verdict import OakError
+from oakramp.control.client import OwnerClient
+from oakramp.control.places import REPLICAS_KEY
 from oakramp.gossip.node import Node
 from oakramp.membership.members import SILENT
 
@@ -448,7 +448,7 @@
             log = self._log(env["machine"])
             with self._interrupts.held():
                 self._controls[env["machine"]] = subprocess.Popen(
-                    [sys.executable, "-c", "from oakcontrol.daemon import main; main()", "--env", path],
+                    [sys.executable, "-c", "from oakramp.control.daemon import main; main()", "--env", path],
                     stdin=subprocess.DEVNULL,
                     stdout=log,
                     stderr=log,
--- a/packages/oaklab/oaklab/simfleet.py
+++ b/packages/oaklab/oaklab/simfleet.py
@@ -4,8 +4,6 @@
 
 from twisted.internet import defer
 
-from oakcontrol.control import ControlNode
-from oakcontrol.storeset import StoreSet
 from oakgate.gate import GateNode
 from oaklab.caller import Caller, Operator, View
 from oaklab.checker import check
@@ -29,6 +27,8 @@
 from oakramp.common.fetch import WebClient
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import spawn
+from oakramp.control.control import ControlNode
+from oakramp.control.storeset import StoreSet
 from oakstore.store import StoreNode
 
 BUILDERS = {"control": ControlNode, "store": StoreNode, "gate": GateNode}
--- a/packages/oakstore/oakstore/lines.py
+++ b/packages/oakstore/oakstore/lines.py
@@ -3,11 +3,11 @@
 
 import json
 
-from oakcontrol.storeset import STORES_KEY, StoreSet, majority
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
 from oakramp.common.tasks import quorum_of, sleep
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
+from oakramp.control.storeset import STORES_KEY, StoreSet, majority
 from oakramp.membership.members import LIVE
 from oakramp.membership.rendezvous import ranked
 from oakramp.version_vectors.clock import sync_versions
--- a/packages/oakstore/oakstore/store.py
+++ b/packages/oakstore/oakstore/store.py
@@ -7,7 +7,6 @@
 
 from twisted.internet import defer
 
-from oakcontrol.storeset import STORES_KEY, StoreSet, majority
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     ACCEPT_INBOX,
@@ -28,6 +27,7 @@
 from oakramp.common.tasks import Repeater, quorum_of, sleep, spawn
 from oakramp.common.verdict import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
 from oakramp.common.web import Web
+from oakramp.control.storeset import STORES_KEY, StoreSet, majority
 from oakramp.gossip.node import Node
 from oakramp.membership.members import LIVE
 from oakramp.rpc.codec import idl
--- a/packages/oakstore/oakstore/turns.py
+++ b/packages/oakstore/oakstore/turns.py
@@ -6,7 +6,6 @@
 
 from twisted.internet import defer
 
-from oakcontrol.storeset import STORES_KEY, StoreSet, majority
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     CONDITION_AGE,
@@ -20,6 +19,7 @@
 )
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
+from oakramp.control.storeset import STORES_KEY, StoreSet, majority
 from oakramp.membership.rendezvous import ranked
 from oakramp.version_vectors.clock import sync_versions
 from oakramp.version_vectors.context import to_context
--- a/tests/order_trial.py
+++ b/tests/order_trial.py
@@ -7,10 +7,6 @@
 from dataclasses import dataclass
 from unittest.mock import patch
 
-from oakcontrol import routing
-from oakcontrol.control import ControlNode
-from oakcontrol.routing import ROUTING_KEY, document_from
-from oakcontrol.slots import slot_of_key
 from oaklab import simfleet
 from oaklab.linearizability import NEVER_ANSWERED, NOTHING, Answer, Order, Read, Try, check_history
 from oaklab.simfleet import SimFleet
@@ -19,6 +15,10 @@
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn, within
 from oakramp.common.verdict import NoAnswer
+from oakramp.control import routing
+from oakramp.control.control import ControlNode
+from oakramp.control.routing import ROUTING_KEY, document_from
+from oakramp.control.slots import slot_of_key
 from test_operator import PORT, Said, SmallDialect, document, send_once
 
 TROUBLES = Registry("trouble")
--- a/tests/second_loss.py
+++ b/tests/second_loss.py
@@ -15,15 +15,15 @@
 import time
 import traceback
 
-from oakcontrol.client import OwnerClient
-from oakcontrol.roster import ROSTER_KEY
-from oakcontrol.slots import slot_of_key
-from oakcontrol.storeset import STORES_KEY
 from oaklab.plan import Size
 from oaklab.simfleet import SimFleet
 from oakramp.common.constants import REJOIN, SLOTS
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.common.verdict import CannotTell, InProgress, NoAnswer, OakError
+from oakramp.control.client import OwnerClient
+from oakramp.control.roster import ROSTER_KEY
+from oakramp.control.slots import slot_of_key
+from oakramp.control.storeset import STORES_KEY
 from oakramp.storage.ring import Ring
 from oakstore.records import RECORD_ROW
 from test_store_forming import KEPT, RING_FILE_SIZE, Rig
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -9,15 +9,15 @@
 from collections import Counter
 from unittest import mock
 
-from oakcontrol import replication
-from oakcontrol.routing import ROUTING_KEY
-from oakcontrol.slots import in_parts, slot_of_key, unpack_entry
-from oakcontrol.voter import Voter
 from oaklab.simfleet import SimFleet
 from oakramp.common.constants import SLOTS
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import OakError, RingFull
+from oakramp.control import replication
+from oakramp.control.routing import ROUTING_KEY
+from oakramp.control.slots import in_parts, slot_of_key, unpack_entry
+from oakramp.control.voter import Voter
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
 from test_images import VoterRig, entries_of, image_of
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -11,14 +11,6 @@
 from sortedcontainers import SortedDict
 
 import test_operator
-from oakcontrol.contact import Contact
-from oakcontrol.controllers import CONTROLLERS
-from oakcontrol.owner import ConfirmationRound, SlotOwner
-from oakcontrol.places import REPLICAS_KEY
-from oakcontrol.roster import ROSTER_KEY, Roster
-from oakcontrol.routing import ROUTING_KEY
-from oakcontrol.slots import slot_of_key
-from oakcontrol.storeset import STORES_KEY
 from oakctl.doctor import Survey, examine
 from oakgate.routing import Router
 from oaklab.plan import PARTNERS, blueprint_of
@@ -28,6 +20,14 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import CannotTell, Lost, NotOwner
+from oakramp.control.contact import Contact
+from oakramp.control.controllers import CONTROLLERS
+from oakramp.control.owner import ConfirmationRound, SlotOwner
+from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.roster import ROSTER_KEY, Roster
+from oakramp.control.routing import ROUTING_KEY
+from oakramp.control.slots import slot_of_key
+from oakramp.control.storeset import STORES_KEY
 from test_operator import document
 
 CUT_S = 20.0  # s; how long a member is cut off
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -6,9 +6,6 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from oakcontrol.moves import OwnerMoves
-from oakcontrol.preparation import Preparation
-from oakcontrol.slots import slot_of_key
 from oaklab.failover import PLAN_KEY, false_takeovers, run_failover, run_planned_stop
 from oaklab.simfleet import SimFleet
 from oakramp.common.constants import (
@@ -23,6 +20,9 @@
 )
 from oakramp.common.tasks import settled
 from oakramp.common.verdict import CannotTell, NoAnswer
+from oakramp.control.moves import OwnerMoves
+from oakramp.control.preparation import Preparation
+from oakramp.control.slots import slot_of_key
 
 
 class MeasurementTest(unittest.TestCase):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from oakcontrol.slots import slot_of_key
 from oaklab.caller import Asked
 from oaklab.faults import replace, send_plan
 from oaklab.plan import PARTNERS, PLATFORM, Size, blueprint_of
@@ -10,6 +9,7 @@
 from oaklab.trial import total_outage
 from oakramp.common.constants import TERM
 from oakramp.common.tasks import settled, sleep, spawn
+from oakramp.control.slots import slot_of_key
 
 
 class FleetTest(unittest.TestCase):
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -4,14 +4,14 @@
 import itertools
 import unittest
 
-from oakcontrol.founding import first_cluster_id, founder_id, founding_of
-from oakcontrol.roster import ROSTER_KEY, Roster, mended
-from oakcontrol.slots import slot_of_key
 from oaklab.faults import send_plan
 from oaklab.plan import env_of
 from oaklab.simfleet import SMALL, SimFleet
 from oakramp.common.constants import ROSTER_MOST, SLOTS, TERM, VIEW_AGE
 from oakramp.common.verdict import CannotTell, Unreachable
+from oakramp.control.founding import first_cluster_id, founder_id, founding_of
+from oakramp.control.roster import ROSTER_KEY, Roster, mended
+from oakramp.control.slots import slot_of_key
 from oakramp.rpc.codec import idl
 
 SYNC_S = 4.0  # s; after this the next disk may be lost
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -4,14 +4,14 @@
 import unittest
 from unittest import mock
 
-from oakcontrol import replication as replication_module, voter as voter_module
-from oakcontrol.slots import slot_of_key
-from oakcontrol.voter import Voter
 from oaklab.simdisk import SimDisk
 from oaklab.simfleet import SMALL, SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.checks import pack_json
 from oakramp.common.logline import LogLine
+from oakramp.control import replication as replication_module, voter as voter_module
+from oakramp.control.slots import slot_of_key
+from oakramp.control.voter import Voter
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -7,11 +7,6 @@
 from twisted.internet import defer, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from oakcontrol import operator as operator_module
-from oakcontrol.control import ControlNode
-from oakcontrol.operator import fingerprint_of, read_document
-from oakcontrol.routing import ROUTING_KEY, document_from
-from oakcontrol.slots import slot_of_key
 from oakgate.routing import Router
 from oaklab import simfleet
 from oaklab.simfleet import SimFleet
@@ -20,6 +15,11 @@
 from oakramp.common.constants import OPERATOR_LIMIT
 from oakramp.common.tasks import settled, sleep, spawn, within
 from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, NoAnswer, Unknown
+from oakramp.control import operator as operator_module
+from oakramp.control.control import ControlNode
+from oakramp.control.operator import fingerprint_of, read_document
+from oakramp.control.routing import ROUTING_KEY, document_from
+from oakramp.control.slots import slot_of_key
 
 PORT = 7481
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -5,15 +5,15 @@
 
 from twisted.internet import defer
 
-from oakcontrol.client import OwnerClient
-from oakcontrol.replication import Offer, StepBatcher
-from oakcontrol.roster import Roster
-from oakcontrol.slots import slot_of_key
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.constants import STEP_PAUSE
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import Fenced, NoAnswer
+from oakramp.control.client import OwnerClient
+from oakramp.control.replication import Offer, StepBatcher
+from oakramp.control.roster import Roster
+from oakramp.control.slots import slot_of_key
 from oakramp.rpc.codec import idl, pack, unpack
 from test_images import VoterRig, entries_of
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from oakcontrol.slots import slot_of_key
 from oaklab.faults import send_plan
 from oaklab.simfleet import SimFleet
 from oaklab.trial import total_outage
 from oakramp.common.tasks import sleep, spawn
+from oakramp.control.slots import slot_of_key
 
 
 class RosterTest(unittest.TestCase):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,9 +7,14 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakcontrol.controllers import CONTROLLERS
-from oakcontrol.owner import View
-from oakcontrol.routing import (
+from oakgate.routing import Route, Router
+from oakramp.common.checks import pack_json
+from oakramp.common.constants import CHANGES_REMEMBERED
+from oakramp.common.logline import LogLine
+from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
+from oakramp.control.controllers import CONTROLLERS
+from oakramp.control.owner import View
+from oakramp.control.routing import (
     ROUTING_KEY,
     apply_patch,
     check_table,
@@ -19,11 +24,6 @@
     pieces_of,
     table_faults,
 )
-from oakgate.routing import Route, Router
-from oakramp.common.checks import pack_json
-from oakramp.common.constants import CHANGES_REMEMBERED
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
 from oakramp.gossip.board import Board
 from test_budgets import Rig
 
--- a/tests/test_store_forming.py
+++ b/tests/test_store_forming.py
@@ -5,13 +5,13 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oakcontrol.slots import slot_of_key
-from oakcontrol.storeset import STORES_KEY, StoreSet
 from oaklab.plan import Size
 from oaklab.simfleet import SimFleet
 from oakramp.common.constants import VIEW_AGE
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import CannotTell, Conflict, Gone, NoAnswer, OakError, Unknown
+from oakramp.control.slots import slot_of_key
+from oakramp.control.storeset import STORES_KEY, StoreSet
 from oakramp.version_vectors.clock import Clock
 from oakstore.records import pack_record
 from oakstore.table import to_state
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -6,7 +6,6 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakcontrol.slots import slot_of_key
 from oaklab.simdisk import SimDisk
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
@@ -14,6 +13,7 @@
 from oakramp.common.constants import VIEW_AGE
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import spawn
+from oakramp.control.slots import slot_of_key
 from oakramp.storage.ring import Ring
 from oakramp.version_vectors.clock import Clock, leq
 from oakstore.table import LineTable, store_of
