--- a/packages/oakctl/oakctl/disk.py
+++ b/packages/oakctl/oakctl/disk.py
@@ -6,7 +6,7 @@
 from oakramp.membership.identity import IDENTITY_FILE
 from oakramp.storage.check import RING_FILE, check_ring
 from oakramp.storage.disk import UNFINISHED
-from oakstore.store import EMPTYING
+from oakramp.store.store import EMPTYING
 
 WELL, WORTH_A_LOOK, DAMAGED = 0, 3, 4  # exit codes, as those of the doctor
 IDENTITY_FIELDS = "nodeId", "clusterId", "addresses"
--- a/packages/oakgate/oakgate/gate.py
+++ b/packages/oakgate/oakgate/gate.py
@@ -12,7 +12,7 @@
 from oakramp.common.fetch import WebClient
 from oakramp.common.metrics import serve_metrics
 from oakramp.common.web import Web
-from oakstore.lines import LineClient
+from oakramp.store.lines import LineClient
 
 
 class GateNode(GateBase):
--- a/packages/oakgate/oakgate/relay_node.py
+++ b/packages/oakgate/oakgate/relay_node.py
@@ -25,7 +25,7 @@
 from oakramp.control.places import REPLICAS_KEY
 from oakramp.http_proxy.front import Front
 from oakramp.http_proxy.upstream import Upstreams
-from oakstore.turns import TurnClient
+from oakramp.store.turns import TurnClient
 
 
 @dataclass(frozen=True)
--- a/packages/oakgate/oakgate/relay_streams.py
+++ b/packages/oakgate/oakgate/relay_streams.py
@@ -8,7 +8,7 @@
 from oakgate.settler import Settler
 from oakramp.common.constants import FULL_RETRY, PATIENCE_SHARE, TURN_OUTPUT_LIMIT
 from oakramp.common.verdict import Broken, BudgetEmpty, CannotTell, NoAnswer, OakError, Overloaded
-from oakstore.turns import Record
+from oakramp.store.turns import Record
 
 
 class Streams:
--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/oaklab/oaklab/capacity.py
@@ -38,7 +38,7 @@
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.rpc.net import Connection
 from oakramp.storage.ring import Ring
-from oakstore.table import LineTable
+from oakramp.store.table import LineTable
 
 SLOPES = Registry("slope")
 NODES = (16, 32, 64, 128)  # a simulated fleet; 256 takes a quarter of an hour of one core
--- a/packages/oaklab/oaklab/simfleet.py
+++ b/packages/oaklab/oaklab/simfleet.py
@@ -29,7 +29,7 @@
 from oakramp.common.tasks import spawn
 from oakramp.control.control import ControlNode
 from oakramp.control.storeset import StoreSet
-from oakstore.store import StoreNode
+from oakramp.store.store import StoreNode
 
 BUILDERS = {"control": ControlNode, "store": StoreNode, "gate": GateNode}
 SMALL = Size(
--- a/packages/oaklab/oaklab/work.py
+++ b/packages/oaklab/oaklab/work.py
@@ -17,8 +17,8 @@
 from oakramp.control.voter import Voter, entry_key
 from oakramp.rpc.codec import pack
 from oakramp.storage.ring import Ring
+from oakramp.store.table import LineRow, LineTable, to_state
 from oakramp.version_vectors.clock import Clock
-from oakstore.table import LineRow, LineTable, to_state
 
 ENDPOINT = "127.0.0.1"
 
--- a/packages/rpc/oakramp/rpc/oak.thrift
+++ b/packages/rpc/oakramp/rpc/oak.thrift
@@ -91,7 +91,7 @@
 struct LineDigest { 1: string key  2: string digest }
 struct DigestPage { 1: list<LineDigest> digests  2: i64 store_epoch }
 
-// A turn's record travels packed (oakstore/records.py): its bodies are bytes that no store looks into.
+// A turn's record travels packed (oakramp/store/records.py): its bodies are bytes that no store looks into.
 struct TurnState {
   1: bool known           // the turn is on a line here, or its record is here
   2: bool whole           // its record and those of all its ancestors are here
--- a/packages/oakstore/oakstore/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -17,8 +17,8 @@
 from oakramp.common.tasks import settled
 from oakramp.common.verdict import Fenced, OakError
 from oakramp.rpc.codec import idl
-from oakstore.records import read_header
-from oakstore.table import TURN_LINE, bucket_of, from_state, to_state
+from oakramp.store.records import read_header
+from oakramp.store.table import TURN_LINE, bucket_of, from_state, to_state
 
 
 class StoreAddress(NamedTuple):
--- a/packages/oakstore/oakstore/daemon.py
+++ b/packages/store/oakramp/store/daemon.py
@@ -2,7 +2,7 @@
 
 from oakramp.common.env import DISK_ENV
 from oakramp.gossip.program import run_daemon
-from oakstore.store import StoreNode
+from oakramp.store.store import StoreNode
 
 
 def main():
--- a/packages/oakstore/oakstore/lines.py
+++ b/packages/store/oakramp/store/lines.py
@@ -10,10 +10,10 @@
 from oakramp.control.storeset import STORES_KEY, StoreSet, majority
 from oakramp.membership.members import LIVE
 from oakramp.membership.rendezvous import ranked
+from oakramp.store.store_calls import StoreCalls
+from oakramp.store.table import from_state
 from oakramp.version_vectors.clock import sync_versions
 from oakramp.version_vectors.context import to_context
-from oakstore.store_calls import StoreCalls
-from oakstore.table import from_state
 
 RETRY_PAUSE = 0.1  # s; between rounds over the stores while one of them changes condition
 
--- a/packages/oakstore/oakstore/store.py
+++ b/packages/store/oakramp/store/store.py
@@ -32,10 +32,10 @@
 from oakramp.membership.members import LIVE
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
+from oakramp.store.anti_entropy import AntiEntropy, StoreAddress
+from oakramp.store.records import read_header
+from oakramp.store.table import TURN_LINE, LineTable, from_state, to_state
 from oakramp.version_vectors.context import from_context, to_context
-from oakstore.anti_entropy import AntiEntropy, StoreAddress
-from oakstore.records import read_header
-from oakstore.table import TURN_LINE, LineTable, from_state, to_state
 
 COVERS = "covers"
 EMPTYING = "emptying"  # a file that stands as long as the folder is being cleared
--- a/packages/oakstore/oakstore/table.py
+++ b/packages/store/oakramp/store/table.py
@@ -29,9 +29,9 @@
 from oakramp.common.inbox import TableOwner
 from oakramp.membership.rendezvous import slot_of
 from oakramp.rpc.codec import idl, pack, unpack
+from oakramp.store.records import RECORD_ROW, RecordTable
 from oakramp.version_vectors.clock import Clock, sync_versions, update
 from oakramp.version_vectors.context import clock_to_row
-from oakstore.records import RECORD_ROW, RecordTable
 
 ROW = "l/"
 SUM_SPAN = 1 << 62
--- a/packages/oakstore/oakstore/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -21,11 +21,11 @@
 from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
 from oakramp.control.storeset import STORES_KEY, StoreSet, majority
 from oakramp.membership.rendezvous import ranked
+from oakramp.store.records import pack_record, read_bodies, read_header
+from oakramp.store.store_calls import HeldBack, StoreCalls
+from oakramp.store.table import TURN_LINE, from_state, pack_turns, turns_in
 from oakramp.version_vectors.clock import sync_versions
 from oakramp.version_vectors.context import to_context
-from oakstore.records import pack_record, read_bodies, read_header
-from oakstore.store_calls import HeldBack, StoreCalls
-from oakstore.table import TURN_LINE, from_state, pack_turns, turns_in
 
 RETRY_PAUSE = 0.05  # s; between rounds over the stores while one of them changes condition
 HEDGES = {"recall": RECALL_HEDGE, "retain": RETAIN_HEDGE}
--- a/tests/second_loss.py
+++ b/tests/second_loss.py
@@ -25,7 +25,7 @@
 from oakramp.control.slots import slot_of_key
 from oakramp.control.storeset import STORES_KEY
 from oakramp.storage.ring import Ring
-from oakstore.records import RECORD_ROW
+from oakramp.store.records import RECORD_ROW
 from test_store_forming import KEPT, RING_FILE_SIZE, Rig
 
 SERVED = 6.0  # s; within this after one loss within what may be lost, writes are acknowledged again
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -11,7 +11,7 @@
 from oakramp.common.logline import LogLine
 from oakramp.storage.disk import FolderDisk
 from oakramp.storage.ring import Ring
-from oakstore.store import EMPTYING, _clear
+from oakramp.store.store import EMPTYING, _clear
 
 SIZE = 1 << 16  # bytes of a file of the ring
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -13,8 +13,8 @@
 from oakramp.common.tasks import settled
 from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Gone, NoAnswer
 from oakramp.storage.ring import Ring
-from oakstore.records import RecordTable, pack_record, read_bodies, read_header
-from oakstore.turns import Record, TurnClient, line_key_of
+from oakramp.store.records import RecordTable, pack_record, read_bodies, read_header
+from oakramp.store.turns import Record, TurnClient, line_key_of
 
 KEPT = 60  # s; for which turns are retained
 
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -12,8 +12,8 @@
 from oakramp.common.logline import LogLine
 from oakramp.common.metrics import Metrics
 from oakramp.common.verdict import CannotTell, Fenced, NoAnswer, RingFull, Unreachable
-from oakstore.store_calls import HeldBack, StoreCalls
-from oakstore.turns import Record, TurnClient
+from oakramp.store.store_calls import HeldBack, StoreCalls
+from oakramp.store.turns import Record, TurnClient
 
 REQUESTS = 40  # that wait at one gate while its stores are away
 AWAY = 5.0  # s
--- a/tests/test_store_forming.py
+++ b/tests/test_store_forming.py
@@ -12,10 +12,10 @@
 from oakramp.common.verdict import CannotTell, Conflict, Gone, NoAnswer, OakError, Unknown
 from oakramp.control.slots import slot_of_key
 from oakramp.control.storeset import STORES_KEY, StoreSet
+from oakramp.store.records import pack_record
+from oakramp.store.table import to_state
+from oakramp.store.turns import Record, TurnClient
 from oakramp.version_vectors.clock import Clock
-from oakstore.records import pack_record
-from oakstore.table import to_state
-from oakstore.turns import Record, TurnClient
 
 KEPT = 60  # s; for which turns are retained
 SYNC = 4.0  # s; after its return a store is a full member again within this
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -15,8 +15,8 @@
 from oakramp.common.tasks import spawn
 from oakramp.control.slots import slot_of_key
 from oakramp.storage.ring import Ring
+from oakramp.store.table import LineTable, store_of
 from oakramp.version_vectors.clock import Clock, leq
-from oakstore.table import LineTable, store_of
 
 
 class TableRig:
