--- a/packages/oakgate/oakgate/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -15,7 +15,6 @@
 
 from twisted.internet import defer
 
-from oakgate.outliers import Outliers
 from oakramp.common.constants import (
     AFFINITY_SLACK,
     BALANCER_QUEUE,
@@ -31,6 +30,7 @@
 from oakramp.common.tasks import within
 from oakramp.common.verdict import Overloaded, TimeSpent
 from oakramp.control.places import REPLICAS_KEY
+from oakramp.gateway.outliers import Outliers
 from oakramp.membership.rendezvous import score
 
 
--- a/packages/oakgate/oakgate/carry.py
+++ b/packages/gateway/oakramp/gateway/carry.py
@@ -2,10 +2,10 @@
 
 import json
 
-from oakgate.placer import Wish, prefix_of
 from oakramp.common.constants import CARRY_TRIES
 from oakramp.common.tasks import within
 from oakramp.common.verdict import Broken, NoAnswer, OakError, Overloaded, Rebound, TimeSpent, Verdict
+from oakramp.gateway.placer import Wish, prefix_of
 
 
 class Carrier:
--- a/packages/oakgate/oakgate/daemon.py
+++ b/packages/gateway/oakramp/gateway/daemon.py
@@ -1,7 +1,7 @@
 """oakgated: a gate node."""
 
-from oakgate.gate import GateNode
 from oakramp.common.env import COMMON_ENV
+from oakramp.gateway.gate import GateNode
 from oakramp.gossip.program import run_daemon
 
 
--- a/packages/oakgate/oakgate/gate.py
+++ b/packages/gateway/oakramp/gateway/gate.py
@@ -2,16 +2,16 @@
 
 import time
 
-from oakgate.base import GateBase
-from oakgate.bindings import Bindings
-from oakgate.carry import Carrier
-from oakgate.placer import Placer
-from oakgate.plain import Plain
-from oakgate.turns import Turns
 from oakramp.common.constants import ACCEPT_INBOX, SETTLE_TIME
 from oakramp.common.fetch import WebClient
 from oakramp.common.metrics import serve_metrics
 from oakramp.common.web import Web
+from oakramp.gateway.base import GateBase
+from oakramp.gateway.bindings import Bindings
+from oakramp.gateway.carry import Carrier
+from oakramp.gateway.placer import Placer
+from oakramp.gateway.plain import Plain
+from oakramp.gateway.turns import Turns
 from oakramp.store.lines import LineClient
 
 
--- a/packages/oakgate/oakgate/plain.py
+++ b/packages/gateway/oakramp/gateway/plain.py
@@ -4,10 +4,10 @@
 
 from schema import Optional, Or
 
-from oakgate.request import Request, chain, print_of
 from oakramp.common.checks import NAME, check_fields, pack_json, seconds
 from oakramp.common.constants import CALL_TIME, CLAIM_ANSWER_LIMIT, CLAIM_LEAVE, TIME_LEFT_LIMIT
 from oakramp.common.verdict import Broken, Conflict, NoAnswer, OakError, Overloaded, TimeSpent, Verdict
+from oakramp.gateway.request import Request, chain, print_of
 
 PLAIN = {
     Optional("key"): Or(None, NAME, error="must be a name"),
--- a/packages/oakgate/oakgate/relay.py
+++ b/packages/gateway/oakramp/gateway/relay.py
@@ -8,15 +8,15 @@
 passed on to its end or its connection is closed.
 """
 
-from oakgate.fresh_news import FreshNews
-from oakgate.passage import Passage, check_caller, may_repeat
-from oakgate.relay_answers import Answers
-from oakgate.relay_carrier import Carrier
-from oakgate.relay_keys import KeyedCalls
-from oakgate.relay_streams import Streams
 from oakramp.common.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_LEAST
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import BadRequest, CannotTell, OakError, Unknown, Verdict
+from oakramp.gateway.fresh_news import FreshNews
+from oakramp.gateway.passage import Passage, check_caller, may_repeat
+from oakramp.gateway.relay_answers import Answers
+from oakramp.gateway.relay_carrier import Carrier
+from oakramp.gateway.relay_keys import KeyedCalls
+from oakramp.gateway.relay_streams import Streams
 
 
 class Relay:
--- a/packages/oakgate/oakgate/relay_carrier.py
+++ b/packages/gateway/oakramp/gateway/relay_carrier.py
@@ -9,16 +9,6 @@
 
 from twisted.internet import defer
 
-from oakgate.balancer import Wish
-from oakgate.passage import (
-    CallerGone,
-    check_caller,
-    may_repeat,
-    remaining,
-    remaining_run,
-    stops_with_caller,
-    when_gone,
-)
 from oakramp.common.constants import (
     CALL_TIME,
     PATIENCE_SHARE,
@@ -40,6 +30,16 @@
     Unreachable,
     Verdict,
 )
+from oakramp.gateway.balancer import Wish
+from oakramp.gateway.passage import (
+    CallerGone,
+    check_caller,
+    may_repeat,
+    remaining,
+    remaining_run,
+    stops_with_caller,
+    when_gone,
+)
 from oakramp.prefix_cache.counters import tenant_of
 
 
--- a/packages/oakgate/oakgate/relay_keys.py
+++ b/packages/gateway/oakramp/gateway/relay_keys.py
@@ -2,10 +2,10 @@
 
 import base64
 
-from oakgate.passage import print_of, remaining
 from oakramp.common.constants import CLAIM_ANSWER_LIMIT, CLAIM_LEAVE
 from oakramp.common.tasks import shielded, within
 from oakramp.common.verdict import BadRequest, CannotTell, InProgress, NoAnswer, OakError, Refused, Verdict
+from oakramp.gateway.passage import print_of, remaining
 
 
 class KeyedCalls:
--- a/packages/oakgate/oakgate/relay_node.py
+++ b/packages/gateway/oakramp/gateway/relay_node.py
@@ -3,11 +3,6 @@
 import time
 from dataclasses import dataclass
 
-from oakgate.balancer import Balancer
-from oakgate.base import GateBase
-from oakgate.placement import Placement
-from oakgate.relay import Relay
-from oakgate.routing import Router
 from oakramp.common.constants import (
     ACCEPT_INBOX,
     BODY_LIMIT,
@@ -23,6 +18,11 @@
 from oakramp.common.verdict import CannotTell, Overloaded
 from oakramp.common.web import Web
 from oakramp.control.places import REPLICAS_KEY
+from oakramp.gateway.balancer import Balancer
+from oakramp.gateway.base import GateBase
+from oakramp.gateway.placement import Placement
+from oakramp.gateway.relay import Relay
+from oakramp.gateway.routing import Router
 from oakramp.http_proxy.front import Front
 from oakramp.http_proxy.upstream import Upstreams
 from oakramp.store.turns import TurnClient
--- a/packages/oakgate/oakgate/relay_streams.py
+++ b/packages/gateway/oakramp/gateway/relay_streams.py
@@ -4,10 +4,10 @@
 
 from twisted.internet import defer
 
-from oakgate.passage import print_of, remaining
-from oakgate.settler import Settler
 from oakramp.common.constants import FULL_RETRY, PATIENCE_SHARE, TURN_OUTPUT_LIMIT
 from oakramp.common.verdict import Broken, BudgetEmpty, CannotTell, NoAnswer, OakError, Overloaded
+from oakramp.gateway.passage import print_of, remaining
+from oakramp.gateway.settler import Settler
 from oakramp.store.turns import Record
 
 
--- a/packages/oakgate/oakgate/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -3,9 +3,6 @@
 from schema import And, Optional, Or
 from twisted.internet.defer import ensureDeferred
 
-from oakgate.carry import refusal_of
-from oakgate.request import Request, chain, print_of, terms_of
-from oakgate.stream import CallerStream, RunReader
 from oakramp.common.checks import NAME, check_fields, seconds, whole
 from oakramp.common.constants import (
     CALL_TIME,
@@ -30,6 +27,9 @@
     TimeSpent,
     Verdict,
 )
+from oakramp.gateway.carry import refusal_of
+from oakramp.gateway.request import Request, chain, print_of, terms_of
+from oakramp.gateway.stream import CallerStream, RunReader
 
 TURN = {
     "turnId": NAME,
--- a/packages/oaklab/oaklab/eviction.py
+++ b/packages/oaklab/oaklab/eviction.py
@@ -9,8 +9,6 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from oakgate.balancer import Balancer, Wish
-from oakgate.placement import Placement
 from oaklab.engine import Engine, Job, Kind
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.checks import pack_json
@@ -22,6 +20,8 @@
 from oakramp.common.verdict import OakError
 from oakramp.control.placement import PLACEMENT_KEY
 from oakramp.control.places import REPLICAS_KEY
+from oakramp.gateway.balancer import Balancer, Wish
+from oakramp.gateway.placement import Placement
 from oakramp.gossip.board import Board
 from oakramp.membership.rendezvous import score
 from oakramp.prefix_cache.counters import tenant_of
--- a/packages/oaklab/oaklab/simfleet.py
+++ b/packages/oaklab/oaklab/simfleet.py
@@ -4,7 +4,6 @@
 
 from twisted.internet import defer
 
-from oakgate.gate import GateNode
 from oaklab.caller import Caller, Operator, View
 from oaklab.checker import check
 from oaklab.plan import (
@@ -29,6 +28,7 @@
 from oakramp.common.tasks import spawn
 from oakramp.control.control import ControlNode
 from oakramp.control.storeset import StoreSet
+from oakramp.gateway.gate import GateNode
 from oakramp.store.store import StoreNode
 
 BUILDERS = {"control": ControlNode, "store": StoreNode, "gate": GateNode}
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -12,7 +12,6 @@
 
 import test_operator
 from oakctl.doctor import Survey, examine
-from oakgate.routing import Router
 from oaklab.plan import PARTNERS, blueprint_of
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
@@ -28,6 +27,7 @@
 from oakramp.control.routing import ROUTING_KEY
 from oakramp.control.slots import slot_of_key
 from oakramp.control.storeset import STORES_KEY
+from oakramp.gateway.routing import Router
 from test_operator import document
 
 CUT_S = 20.0  # s; how long a member is cut off
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -7,7 +7,6 @@
 from twisted.internet import defer, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from oakgate.routing import Router
 from oaklab import simfleet
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimReactor
@@ -20,6 +19,7 @@
 from oakramp.control.operator import fingerprint_of, read_document
 from oakramp.control.routing import ROUTING_KEY, document_from
 from oakramp.control.slots import slot_of_key
+from oakramp.gateway.routing import Router
 
 PORT = 7481
 
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -7,9 +7,9 @@
 
 from twisted.internet import task
 
-from oakgate.outliers import FAULTS, Outliers
 from oakramp.common.constants import LATE_LEAST, LATE_TIMES, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
 from oakramp.common.logline import LogLine
+from oakramp.gateway.outliers import FAULTS, Outliers
 from oakramp.gossip.board import Board
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,6 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakgate.routing import Route, Router
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import CHANGES_REMEMBERED
 from oakramp.common.logline import LogLine
@@ -24,6 +23,7 @@
     pieces_of,
     table_faults,
 )
+from oakramp.gateway.routing import Route, Router
 from oakramp.gossip.board import Board
 from test_budgets import Rig
 
