--- a/packages/oakctl/oakctl/main.py
+++ b/packages/cli/oakramp/cli/main.py
@@ -7,10 +7,10 @@
 
 import click
 
-from oakctl.asking import ADDRESS_TYPE, Refusal, ask, ask_first, show
-from oakctl.disk import check_folder
-from oakctl.doctor import CHECKS, examine, take_survey, worst_code
-from oakctl.eviction import lines_of
+from oakramp.cli.asking import ADDRESS_TYPE, Refusal, ask, ask_first, show
+from oakramp.cli.disk import check_folder
+from oakramp.cli.doctor import CHECKS, examine, take_survey, worst_code
+from oakramp.cli.eviction import lines_of
 
 INIT_TIME = 30  # s; nodes that were just started need a few rounds of news to meet
 
--- a/packages/oaklab/oaklab/realtrial.py
+++ b/packages/oaklab/oaklab/realtrial.py
@@ -5,11 +5,11 @@
 
 from twisted.internet.threads import deferToThread
 
-from oakctl.asking import ask
 from oaklab.caller import Caller, Operator, View
 from oaklab.checker import check
 from oaklab.plan import PARTNERS, PLAIN_NAMES, PLATFORM, SIZES, blueprint_of
 from oaklab.standin import Record
+from oakramp.cli.asking import ask
 from oakramp.common.fetch import WebClient
 from oakramp.common.tasks import settled, sleep
 
--- a/packages/oaklab/oaklab/scale.py
+++ b/packages/oaklab/oaklab/scale.py
@@ -25,9 +25,9 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from oakctl.asking import ask
 from oaklab.capacity import replica_rows, wire_meter
 from oaklab.plan import blueprint_of
+from oakramp.cli.asking import ask
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
 from oakramp.common.verdict import OakError
--- a/packages/oaklab/oaklab/takeout.py
+++ b/packages/oaklab/oaklab/takeout.py
@@ -413,7 +413,7 @@
     ),
     TakeOut(
         "unknown at the command line",
-        "oakctl/oakctl/asking.py",
+        "cli/oakramp/cli/asking.py",
         '"overloaded") and not unsure:',
         '"overloaded"):',
         "test_api.Asking.test_unknown_is_never_no",
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -3,9 +3,9 @@
 import unittest
 from unittest import mock
 
-from oakctl import asking
 from oaklab.plan import blueprint_of
 from oaklab.simfleet import SimFleet
+from oakramp.cli import asking
 
 
 class Asking(unittest.TestCase):
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -11,10 +11,10 @@
 from sortedcontainers import SortedDict
 
 import test_operator
-from oakctl.doctor import Survey, examine
 from oaklab.plan import PARTNERS, blueprint_of
 from oaklab.simfleet import SimFleet
 from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.cli.doctor import Survey, examine
 from oakramp.common.constants import OWNER_TRY_TIME, REPLICA_AGE, ROUTING_AGE, ROUTING_STRETCH, TERM, VIEW_AGE
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import sleep, spawn
--- a/tests/test_disk_check.py
+++ b/tests/test_disk_check.py
@@ -9,7 +9,7 @@
 
 from click.testing import CliRunner
 
-from oakctl.main import main
+from oakramp.cli.main import main
 from oakramp.common.logline import LogLine
 from oakramp.storage.disk import FolderDisk
 from oakramp.storage.ring import LAP_SIZE, Ring, _pack_record
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -3,8 +3,8 @@
 import copy
 import unittest
 
-from oakctl.doctor import CHECKS, examine, take_survey, worst_code
 from oaklab.simfleet import SimFleet
+from oakramp.cli.doctor import CHECKS, examine, take_survey, worst_code
 from oakramp.common.verdict import OakError
 
 
