--- a/packages/oaklab/oaklab/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -16,11 +16,6 @@
 
 from sortedcontainers import SortedDict
 
-from oaklab.measure import MEASURES, large_blueprint
-from oaklab.plan import Size, blueprint_of
-from oaklab.simdisk import SimDisk
-from oaklab.simfleet import SimFleet
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import ALLOWANCE_CLOSED
 from oakramp.common.logline import LogLine
@@ -39,6 +34,11 @@
 from oakramp.rpc.net import Connection
 from oakramp.storage.ring import Ring
 from oakramp.store.table import LineTable
+from oakramp.testbed.measure import MEASURES, large_blueprint
+from oakramp.testbed.plan import Size, blueprint_of
+from oakramp.testbed.simdisk import SimDisk
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 SLOPES = Registry("slope")
 NODES = (16, 32, 64, 128)  # a simulated fleet; 256 takes a quarter of an hour of one core
--- a/packages/oaklab/oaklab/checker.py
+++ b/packages/testbed/oakramp/testbed/checker.py
@@ -7,8 +7,8 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from oaklab.linearizability import Answer, Order, Read, Try, check_history
 from oakramp.common.registry import Registry
+from oakramp.testbed.linearizability import Answer, Order, Read, Try, check_history
 
 RULES = Registry("rule")
 KEY_TIME = 60.0  # s; the brief's minute for keys and for earlier turns
@@ -372,7 +372,7 @@
 
 @RULES.enter("planOrder")
 def _planOrder(view, _record):
-    """Each partner's plan is as a single compare-and-set register would hold it (oaklab.linearizability)."""
+    """Each partner's plan is as a single compare-and-set register would hold it (oakramp.testbed.linearizability)."""
     bad, checked, near = [], 0, 0
     for partner in sorted({plan.partner for plan in view.plans}):
         orders = _planOrders([plan for plan in view.plans if plan.partner == partner and plan.based_on is not None])
--- a/packages/oaklab/oaklab/commands.py
+++ b/packages/testbed/oakramp/testbed/commands.py
@@ -11,16 +11,16 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oaklab.fleet import Fleet
-from oaklab.plan import NETWORK, Machine, Size, env_of
-from oaklab.simfleet import SimFleet
-from oaklab.work import calls_of
 from oakramp.common.logline import stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
 from oakramp.common.verdict import OakError
 from oakramp.control.client import OwnerClient
 from oakramp.control.slots import slot_of_key
 from oakramp.gossip.node import Node
+from oakramp.testbed.fleet import Fleet
+from oakramp.testbed.plan import NETWORK, Machine, Size, env_of
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.work import calls_of
 
 TICKS = os.sysconf("SC_CLK_TCK")
 CLIENT = Machine("bench0", "gate", "zone0", f"{NETWORK}.240.1")
--- a/packages/oaklab/oaklab/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -9,8 +9,6 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from oaklab.engine import Engine, Job, Kind
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
 from oakramp.common.logline import LogLine
@@ -28,6 +26,8 @@
 from oakramp.prefix_cache.decision import Decision
 from oakramp.prefix_cache.detector import Load, Window
 from oakramp.prefix_cache.planner import plan_of
+from oakramp.testbed.engine import Engine, Job, Kind
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 SERVICE = "lm"
 ZONES = ("za", "zb", "zc")
--- a/packages/oaklab/oaklab/explore/command.py
+++ b/packages/testbed/oakramp/testbed/explore/command.py
@@ -8,12 +8,12 @@
 
 import click
 
-from oaklab.explore.departures import SCENARIOS, search_departures
-from oaklab.explore.mutations import MUTATIONS, applied
-from oaklab.explore.report import replay_text, told
-from oaklab.explore.search import STEPS, Findings, search_random
-from oaklab.explore.shrink import shrink
-from oaklab.explore.world import Shape
+from oakramp.testbed.explore.departures import SCENARIOS, search_departures
+from oakramp.testbed.explore.mutations import MUTATIONS, applied
+from oakramp.testbed.explore.report import replay_text, told
+from oakramp.testbed.explore.search import STEPS, Findings, search_random
+from oakramp.testbed.explore.shrink import shrink
+from oakramp.testbed.explore.world import Shape
 
 PORTION = 250  # schedules; that a process runs before it tells what it found
 
--- a/packages/oaklab/oaklab/explore/departures.py
+++ b/packages/testbed/oakramp/testbed/explore/departures.py
@@ -6,12 +6,12 @@
 
 from dataclasses import dataclass, field
 
-from oaklab.explore.explorer import run, without_collecting
-from oaklab.explore.finale import next_ordinary
-from oaklab.explore.schedule import Choice
-from oaklab.explore.search import Findings
-from oaklab.explore.strategies import MOVE_ON, NEWS_OF_N0
-from oaklab.explore.world import OPERATOR, Shape
+from oakramp.testbed.explore.explorer import run, without_collecting
+from oakramp.testbed.explore.finale import next_ordinary
+from oakramp.testbed.explore.schedule import Choice
+from oakramp.testbed.explore.search import Findings
+from oakramp.testbed.explore.strategies import MOVE_ON, NEWS_OF_N0
+from oakramp.testbed.explore.world import OPERATOR, Shape
 
 STEPS = 400  # choices; more than any scenario takes
 
--- a/packages/oaklab/oaklab/explore/disk.py
+++ b/packages/testbed/oakramp/testbed/explore/disk.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import defer
 
-from oaklab.simdisk import SimDisk
+from oakramp.testbed.simdisk import SimDisk
 
 
 class ModelDisk(SimDisk):
--- a/packages/oaklab/oaklab/explore/explorer.py
+++ b/packages/testbed/oakramp/testbed/explore/explorer.py
@@ -3,10 +3,10 @@
 import gc
 from dataclasses import dataclass, field
 
-from oaklab.explore.finale import verdict
-from oaklab.explore.process import OneSlot
-from oaklab.explore.schedule import apply
-from oaklab.explore.world import World
+from oakramp.testbed.explore.finale import verdict
+from oakramp.testbed.explore.process import OneSlot
+from oakramp.testbed.explore.schedule import apply
+from oakramp.testbed.explore.world import World
 
 
 @dataclass
--- a/packages/oaklab/oaklab/explore/finale.py
+++ b/packages/testbed/oakramp/testbed/explore/finale.py
@@ -1,8 +1,8 @@
 """The end of every schedule: all trouble is over, and what the operators were told is held against what is in force."""
 
-from oaklab.explore.invariants import NOT_SERVED, Violation, judge_history
-from oaklab.explore.process import SLOT
-from oaklab.explore.schedule import Choice, apply, message_choice
+from oakramp.testbed.explore.invariants import NOT_SERVED, Violation, judge_history
+from oakramp.testbed.explore.process import SLOT
+from oakramp.testbed.explore.schedule import Choice, apply, message_choice
 
 ROUNDS = (
     400  # of looking, each up to the next timer; the longest seen took 130: a take-over by one that has to give it up
--- a/packages/oaklab/oaklab/explore/invariants.py
+++ b/packages/testbed/oakramp/testbed/explore/invariants.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from oaklab.explore.process import SLOT
 from oakramp.control.routing import ROUTING_KEY
 from oakramp.control.slots import unpack_entry
+from oakramp.testbed.explore.process import SLOT
 
 
 @dataclass(frozen=True)
--- a/packages/oaklab/oaklab/explore/mutations.py
+++ b/packages/testbed/oakramp/testbed/explore/mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into the running program, by which the explorer is shown to find them: the take-outs of `oaklab.takeout` that
+"""Faults put into the running program, by which the explorer is shown to find them: the take-outs of `oakramp.testbed.takeout` that
 concern the control protocols, and faults planted for what must never happen.
 
 A mutation replaces text of one source file, as a take-out does; here the functions whose code then differs get the new
@@ -10,8 +10,8 @@
 import types
 from dataclasses import dataclass, field
 
-from oaklab.explore.world import Shape
-from oaklab.takeout import TAKE_OUTS
+from oakramp.testbed.explore.world import Shape
+from oakramp.testbed.takeout import TAKE_OUTS
 
 
 @dataclass(frozen=True)
--- a/packages/oaklab/oaklab/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -16,8 +16,8 @@
 from oakramp.gossip.board import Board
 from oakramp.storage.ring import Ring
 from oakramp.rpc.codec import idl
-from oaklab.explore.clock import ModelClock
-from oaklab.explore.network import ModelNet
+from oakramp.testbed.explore.clock import ModelClock
+from oakramp.testbed.explore.network import ModelNet
 
 RING_FILE_SIZE = 1 << 13  # bytes; small, so that rings go round within a schedule of many changes
 SLOT = 0  # the one slot of an explored world
--- a/packages/oaklab/oaklab/explore/report.py
+++ b/packages/testbed/oakramp/testbed/explore/report.py
@@ -2,9 +2,9 @@
 
 from dataclasses import fields
 
-from oaklab.explore.explorer import replay
-from oaklab.explore.schedule import Choice
-from oaklab.explore.world import Shape
+from oakramp.testbed.explore.explorer import replay
+from oakramp.testbed.explore.schedule import Choice
+from oakramp.testbed.explore.world import Shape
 
 SHAPE = "world"  # the first word of the line that says what the world consists of
 LONGEST = 44  # characters of one event in the timeline
--- a/packages/oaklab/oaklab/explore/schedule.py
+++ b/packages/testbed/oakramp/testbed/explore/schedule.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from oaklab.explore.world import OPERATOR, TICK
+from oakramp.testbed.explore.world import OPERATOR, TICK
 
 
 @dataclass(frozen=True)
--- a/packages/oaklab/oaklab/explore/search.py
+++ b/packages/testbed/oakramp/testbed/explore/search.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from oaklab.explore.explorer import run, without_collecting
-from oaklab.explore.strategies import Priorities
+from oakramp.testbed.explore.explorer import run, without_collecting
+from oakramp.testbed.explore.strategies import Priorities
 
 STEPS = 180  # choices of a random schedule; a take-over takes about 15, a change of the roster about 60
 
--- a/packages/oaklab/oaklab/explore/shrink.py
+++ b/packages/testbed/oakramp/testbed/explore/shrink.py
@@ -1,6 +1,6 @@
 """Makes a failing schedule shorter: choices are left out as long as the same rule is still broken."""
 
-from oaklab.explore.explorer import replay
+from oakramp.testbed.explore.explorer import replay
 
 
 def shrink(outcome, most=1500):
--- a/packages/oaklab/oaklab/explore/world.py
+++ b/packages/testbed/oakramp/testbed/explore/world.py
@@ -9,11 +9,11 @@
 from oakramp.control.roster import ROSTER_KEY, Roster
 from oakramp.control.routing import ROUTING_KEY
 from oakramp.rpc.codec import arguments_class
-from oaklab.explore.disk import ModelDisk
-from oaklab.explore.history import Answer, History
-from oaklab.explore.invariants import Watcher
-from oaklab.explore.network import Message, serve
-from oaklab.explore.process import OPERATOR_HELLO, Process
+from oakramp.testbed.explore.disk import ModelDisk
+from oakramp.testbed.explore.history import Answer, History
+from oakramp.testbed.explore.invariants import Watcher
+from oakramp.testbed.explore.network import Message, serve
+from oakramp.testbed.explore.process import OPERATOR_HELLO, Process
 
 MESSAGE_TIME = 0.001  # s; that passes with each delivery, so that no two steps are at one instant
 TICK = 0.2  # s; a quarter of a term
--- a/packages/oaklab/oaklab/failover.py
+++ b/packages/testbed/oakramp/testbed/failover.py
@@ -7,11 +7,11 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oaklab.plan import blueprint_of
-from oaklab.simfleet import SimFleet
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import OakError
 from oakramp.control.slots import slot_of_key
+from oakramp.testbed.plan import blueprint_of
+from oakramp.testbed.simfleet import SimFleet
 
 PARTNER = "dalatech"
 PLAN_KEY = f"blueprint/{PARTNER}"
--- a/packages/oaklab/oaklab/faults.py
+++ b/packages/testbed/oakramp/testbed/faults.py
@@ -6,10 +6,10 @@
 
 from collections import Counter
 
-from oaklab.plan import PARTNERS, PLATFORM, blueprint_of
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.common.verdict import RingDamaged
+from oakramp.testbed.plan import PARTNERS, PLATFORM, blueprint_of
 
 FAULTS = Registry("fault")
 
--- a/packages/oaklab/oaklab/fleet.py
+++ b/packages/testbed/oakramp/testbed/fleet.py
@@ -7,8 +7,8 @@
 import sys
 import time
 
-from oaklab.plan import PARTNERS, PLATFORM, SIZES, blueprint_of, env_of, machines_of
 from oakramp.cli.asking import ask
+from oakramp.testbed.plan import PARTNERS, PLATFORM, SIZES, blueprint_of, env_of, machines_of
 
 PROGRAMS = {"control": "oakcored", "store": "oakstored", "gate": "oakgated"}
 START_TIME = 30.0  # s; a dozen interpreters starting at once on a busy machine
--- a/packages/oaklab/oaklab/main.py
+++ b/packages/testbed/oakramp/testbed/main.py
@@ -13,20 +13,20 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oaklab.capacity import SLOPES
-from oaklab.checker import cut_off
-from oaklab.explore.command import explore
-from oaklab.fleet import Fleet
-from oaklab.measure import MEASURES
-from oaklab.plan import MARKERS, PLATFORM, SIZES, replica_rows
-from oaklab.realtrial import RealTrial, rolling_restart
-from oaklab.scale import Sizes, run_hollow, run_scale
-from oaklab.standin import build_standins
-from oaklab.takeout import try_all
-from oaklab.trial import DAYS, run_day, run_trial
 from oakramp.common.logline import LogLine, stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled
 from oakramp.common.verdict import Unknown
+from oakramp.testbed.capacity import SLOPES
+from oakramp.testbed.checker import cut_off
+from oakramp.testbed.explore.command import explore
+from oakramp.testbed.fleet import Fleet
+from oakramp.testbed.measure import MEASURES
+from oakramp.testbed.plan import MARKERS, PLATFORM, SIZES, replica_rows
+from oakramp.testbed.realtrial import RealTrial, rolling_restart
+from oakramp.testbed.scale import Sizes, run_hollow, run_scale
+from oakramp.testbed.standin import build_standins
+from oakramp.testbed.takeout import try_all
+from oakramp.testbed.trial import DAYS, run_day, run_trial
 
 SIZE = click.option(
     "--size",
--- a/packages/oaklab/oaklab/measure.py
+++ b/packages/testbed/oakramp/testbed/measure.py
@@ -3,16 +3,16 @@
 from collections import Counter
 from itertools import count
 
-from oaklab.commands import count_work, measure_commands
-from oaklab.eviction import measure_eviction
-from oaklab.failover import measure_failover
-from oaklab.outages import OUTAGES, run_outage
-from oaklab.plan import PARTNERS, Size, blueprint_of
-from oaklab.simfleet import SimFleet
-from oaklab.work import loading_time, owner_work, store_work
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.rpc.codec import idl, pack
+from oakramp.testbed.commands import count_work, measure_commands
+from oakramp.testbed.eviction import measure_eviction
+from oakramp.testbed.failover import measure_failover
+from oakramp.testbed.outages import OUTAGES, run_outage
+from oakramp.testbed.plan import PARTNERS, Size, blueprint_of
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.work import loading_time, owner_work, store_work
 
 MEASURES = Registry("measure")
 TRIES = 20  # requests; one at a time, so that no sync is shared
--- a/packages/oaklab/oaklab/outages.py
+++ b/packages/testbed/oakramp/testbed/outages.py
@@ -1,13 +1,13 @@
 """Everything goes at once, in several ways. Each is a function of a fleet that runs; it gives the time at which
 everything is back that comes back."""
 
-from oaklab.faults import arm, replace
-from oaklab.plan import PARTNERS
-from oaklab.simfleet import SimFleet
-from oaklab.trial import probe, served_again, total_outage
 from oakramp.common.constants import CONTROL_FULL, STORE_FULL
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, spawn
+from oakramp.testbed.faults import arm, replace
+from oakramp.testbed.plan import PARTNERS
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.trial import probe, served_again, total_outage
 
 OUTAGES = Registry("outage")
 SMALL_RING = 1 << 16  # bytes; of a ring's file, so that the whole is soon full
--- a/packages/oaklab/oaklab/powerloss.py
+++ b/packages/testbed/oakramp/testbed/powerloss.py
@@ -4,17 +4,17 @@
 it with what was asked for. It raises `Broken` if the ring does not open, if a commit that fired is missing, if what is
 there is not a prefix of the commits in the order of their asking, or if a commit fails while there is power.
 
-    python -m oaklab.powerloss FIRST_SEED SEEDS LOSSES_EACH
+    python -m oakramp.testbed.powerloss FIRST_SEED SEEDS LOSSES_EACH
 """
 
 import random
 import sys
 
-from oaklab.simdisk import PowerLost, SimDisk
-from oaklab.simnet import SimHost, SimNetwork, SimTime
 from oakramp.common.logline import LogLine
 from oakramp.common.verdict import OakError, RingFull
 from oakramp.storage.ring import Ring
+from oakramp.testbed.simdisk import PowerLost, SimDisk
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimTime
 
 KEYS = 5, 10, 40, 120  # keys that the commits of a ring write to; with many of them it runs full
 LONGEST = 3, 8, 20, 60  # parts of a file; the longest value of a commit is one of them
--- a/packages/oaklab/oaklab/scale.py
+++ b/packages/testbed/oakramp/testbed/scale.py
@@ -25,8 +25,6 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from oaklab.capacity import replica_rows, wire_meter
-from oaklab.plan import blueprint_of
 from oakramp.cli.asking import ask
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
@@ -35,6 +33,8 @@
 from oakramp.control.places import REPLICAS_KEY
 from oakramp.gossip.node import Node
 from oakramp.membership.members import SILENT
+from oakramp.testbed.capacity import replica_rows, wire_meter
+from oakramp.testbed.plan import blueprint_of
 
 NETWORKS = range(64, 128)  # second bytes of loopback addresses; each run takes one that no other run on the machine has
 CLAIM = "255.1", 7400  # where a run listens, so that others see that its network is taken
@@ -296,7 +296,7 @@
     def __init__(self, spec, log):
         self.count = spec["count"]
         self._process = subprocess.Popen(
-            [sys.executable, "-m", "oaklab.main", "hollow", json.dumps(spec)],
+            [sys.executable, "-m", "oakramp.testbed.main", "hollow", json.dumps(spec)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=log,
--- a/packages/oaklab/oaklab/simfleet.py
+++ b/packages/testbed/oakramp/testbed/simfleet.py
@@ -4,9 +4,17 @@
 
 from twisted.internet import defer
 
-from oaklab.caller import Caller, Operator, View
-from oaklab.checker import check
-from oaklab.plan import (
+from oakramp.common.constants import SLOTS
+from oakramp.common.fetch import WebClient
+from oakramp.common.logline import LogLine
+from oakramp.common.tasks import spawn
+from oakramp.control.control import ControlNode
+from oakramp.control.storeset import StoreSet
+from oakramp.gateway.gate import GateNode
+from oakramp.store.store import StoreNode
+from oakramp.testbed.caller import Caller, Operator, View
+from oakramp.testbed.checker import check
+from oakramp.testbed.plan import (
     MARKERS,
     NETS,
     NETWORK,
@@ -19,17 +27,9 @@
     machines_of,
     replica_rows,
 )
-from oaklab.simdisk import SimDisk
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oaklab.standin import Record, StandinPlatform, StandinReplica
-from oakramp.common.constants import SLOTS
-from oakramp.common.fetch import WebClient
-from oakramp.common.logline import LogLine
-from oakramp.common.tasks import spawn
-from oakramp.control.control import ControlNode
-from oakramp.control.storeset import StoreSet
-from oakramp.gateway.gate import GateNode
-from oakramp.store.store import StoreNode
+from oakramp.testbed.simdisk import SimDisk
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
+from oakramp.testbed.standin import Record, StandinPlatform, StandinReplica
 
 BUILDERS = {"control": ControlNode, "store": StoreNode, "gate": GateNode}
 SMALL = Size(
--- a/packages/oaklab/oaklab/simfolder.py
+++ b/packages/testbed/oakramp/testbed/simfolder.py
@@ -8,7 +8,7 @@
 import os.path
 from types import SimpleNamespace
 
-from oaklab.simdisk import PowerLost
+from oakramp.testbed.simdisk import PowerLost
 
 
 class _File:
--- a/packages/oaklab/oaklab/trial.py
+++ b/packages/testbed/oakramp/testbed/trial.py
@@ -4,14 +4,14 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from oaklab.checker import check
-from oaklab.faults import FAULTS, arm, cause
-from oaklab.plan import PARTNERS, PLAIN_NAMES, blueprint_of
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import SLOTS
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.control.slots import unpack_entry
+from oakramp.testbed.checker import check
+from oakramp.testbed.faults import FAULTS, arm, cause
+from oakramp.testbed.plan import PARTNERS, PLAIN_NAMES, blueprint_of
+from oakramp.testbed.simfleet import SimFleet
 
 DAYS = Registry("day")
 SERVED_TIME = 12.0  # s; the brief's bound after a total fault
--- a/packages/oaklab/oaklab/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -7,8 +7,6 @@
 
 from sortedcontainers import SortedDict
 
-from oaklab.simdisk import SimDisk
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.logline import LogLine
 from oakramp.control import budget  # noqa: F401  it enters its controller
 from oakramp.control.controllers import CONTROLLERS
@@ -18,6 +16,8 @@
 from oakramp.rpc.codec import pack
 from oakramp.storage.ring import Ring
 from oakramp.store.table import LineRow, LineTable, to_state
+from oakramp.testbed.simdisk import SimDisk
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.version_vectors.clock import Clock
 
 ENDPOINT = "127.0.0.1"
--- a/tests/relay_checker.py
+++ b/tests/relay_checker.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oaklab.linearizability import Answer, Order, Read, Try, check_history
 from oakramp.common.checks import pack_json
 from oakramp.common.registry import Registry
+from oakramp.testbed.linearizability import Answer, Order, Read, Try, check_history
 
 RULES = Registry("rule")
 PROMISES = (408, 421, 429, 503)
--- a/tests/relay_replicas.py
+++ b/tests/relay_replicas.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qs, urlsplit
 
-from oaklab.simnet import SimReactor
 from oakramp.common.tasks import sleep, spawn
+from oakramp.testbed.simnet import SimReactor
 from relay_http import ServerFactory, answer_bytes, answer_head, chunk
 
 STAMP = "Postmark"
--- a/tests/second_loss.py
+++ b/tests/second_loss.py
@@ -15,8 +15,6 @@
 import time
 import traceback
 
-from oaklab.plan import Size
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import REJOIN, SLOTS
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.common.verdict import CannotTell, InProgress, NoAnswer, OakError
@@ -26,6 +24,8 @@
 from oakramp.control.storeset import STORES_KEY
 from oakramp.storage.ring import Ring
 from oakramp.store.records import RECORD_ROW
+from oakramp.testbed.plan import Size
+from oakramp.testbed.simfleet import SimFleet
 from test_store_forming import KEPT, RING_FILE_SIZE, Rig
 
 SERVED = 6.0  # s; within this after one loss within what may be lost, writes are acknowledged again
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -3,9 +3,9 @@
 import unittest
 from unittest import mock
 
-from oaklab.plan import blueprint_of
-from oaklab.simfleet import SimFleet
 from oakramp.cli import asking
+from oakramp.testbed.plan import blueprint_of
+from oakramp.testbed.simfleet import SimFleet
 
 
 class Asking(unittest.TestCase):
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -9,7 +9,6 @@
 from collections import Counter
 from unittest import mock
 
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import SLOTS
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import spawn
@@ -20,6 +19,7 @@
 from oakramp.control.voter import Voter
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
+from oakramp.testbed.simfleet import SimFleet
 from test_images import VoterRig, entries_of, image_of
 
 SLOTS_TORN = (1, 3)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -3,9 +3,9 @@
 import copy
 import unittest
 
-from oaklab.caller import Asked, Attempt, PlanRead, PlanSent, View
-from oaklab.checker import RULES, check, cut_off
-from oaklab.standin import Record, Run
+from oakramp.testbed.caller import Asked, Attempt, PlanRead, PlanSent, View
+from oakramp.testbed.checker import RULES, check, cut_off
+from oakramp.testbed.standin import Record, Run
 
 
 def honest():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -5,13 +5,13 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import CALL_TIME, CLAIM_KEPT
 from oakramp.common.tasks import settled, spawn
 from oakramp.common.verdict import InProgress, NoAnswer
 from oakramp.control.controllers import CONTROLLERS
 from oakramp.control.owner import Context, View
 from oakramp.control.slots import slot_of_key
+from oakramp.testbed.simfleet import SimFleet
 from test_budgets import ClaimRig
 
 ANSWER = {"status": 200, "headers": [["Stamp", "a.b"]], "body": base64.b64encode(bytes(range(256))).decode()}
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import SLOTS, TERM
 from oakramp.common.verdict import Fenced
+from oakramp.testbed.simfleet import SimFleet
 
 PASSING_TIME = 0.12  # s; the voters of a recorded day set the roster this long after the node that took slots over
 
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -11,9 +11,6 @@
 from sortedcontainers import SortedDict
 
 import test_operator
-from oaklab.plan import PARTNERS, blueprint_of
-from oaklab.simfleet import SimFleet
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.cli.doctor import Survey, examine
 from oakramp.common.constants import OWNER_TRY_TIME, REPLICA_AGE, ROUTING_AGE, ROUTING_STRETCH, TERM, VIEW_AGE
 from oakramp.common.logline import LogLine
@@ -28,6 +25,9 @@
 from oakramp.control.slots import slot_of_key
 from oakramp.control.storeset import STORES_KEY
 from oakramp.gateway.routing import Router
+from oakramp.testbed.plan import PARTNERS, blueprint_of
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from test_operator import document
 
 CUT_S = 20.0  # s; how long a member is cut off
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -3,9 +3,9 @@
 import copy
 import unittest
 
-from oaklab.simfleet import SimFleet
 from oakramp.cli.doctor import CHECKS, examine, take_survey, worst_code
 from oakramp.common.verdict import OakError
+from oakramp.testbed.simfleet import SimFleet
 
 
 def survey_of(fleet):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -5,8 +5,6 @@
 import unittest
 from dataclasses import replace
 
-from oaklab.simfleet import SimFleet
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.constants import FORGET_AGE
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import begin
@@ -16,6 +14,8 @@
 from oakramp.gossip.puller import Puller
 from oakramp.membership.members import Member, Members
 from oakramp.rpc.codec import idl, pack, unpack
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 
 class Wire:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -3,16 +3,16 @@
 
 import unittest
 
-from oaklab.explore.departures import SCENARIOS, search_departures
-from oaklab.explore.explorer import replay, run, without_collecting
-from oaklab.explore.invariants import CRASHED, NOT_SERVED
-from oaklab.explore.mutations import MUTATIONS, applied
-from oaklab.explore.report import as_text, from_text, replay_text, timeline
-from oaklab.explore.search import STEPS, search_random
-from oaklab.explore.shrink import shrink
-from oaklab.explore.strategies import Priorities
-from oaklab.explore.world import Shape
-from oaklab.simfleet import SMALL, SimFleet
+from oakramp.testbed.explore.departures import SCENARIOS, search_departures
+from oakramp.testbed.explore.explorer import replay, run, without_collecting
+from oakramp.testbed.explore.invariants import CRASHED, NOT_SERVED
+from oakramp.testbed.explore.mutations import MUTATIONS, applied
+from oakramp.testbed.explore.report import as_text, from_text, replay_text, timeline
+from oakramp.testbed.explore.search import STEPS, search_random
+from oakramp.testbed.explore.shrink import shrink
+from oakramp.testbed.explore.strategies import Priorities
+from oakramp.testbed.explore.world import Shape
+from oakramp.testbed.simfleet import SMALL, SimFleet
 
 SCHEDULES = 60  # of each shape in CI; docs/control-safety/exploring.md has the figures of more
 FOUND_WITHIN = {  # mutation -> schedules from seed 0 on
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -6,8 +6,6 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from oaklab.failover import PLAN_KEY, false_takeovers, run_failover, run_planned_stop
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import (
     CONDITION_AGE,
     LEASE_LAPSED,
@@ -23,6 +21,8 @@
 from oakramp.control.moves import OwnerMoves
 from oakramp.control.preparation import Preparation
 from oakramp.control.slots import slot_of_key
+from oakramp.testbed.failover import PLAN_KEY, false_takeovers, run_failover, run_planned_stop
+from oakramp.testbed.simfleet import SimFleet
 
 
 class MeasurementTest(unittest.TestCase):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from oaklab.caller import Asked
-from oaklab.faults import replace, send_plan
-from oaklab.plan import PARTNERS, PLATFORM, Size, blueprint_of
-from oaklab.simfleet import SMALL, SimFleet
-from oaklab.trial import total_outage
 from oakramp.common.constants import TERM
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.control.slots import slot_of_key
+from oakramp.testbed.caller import Asked
+from oakramp.testbed.faults import replace, send_plan
+from oakramp.testbed.plan import PARTNERS, PLATFORM, Size, blueprint_of
+from oakramp.testbed.simfleet import SMALL, SimFleet
+from oakramp.testbed.trial import total_outage
 
 
 class FleetTest(unittest.TestCase):
@@ -305,7 +305,7 @@
         self.assertGreater(len(fleet.served()), 50)
 
     def cut_off(self, since):
-        from oaklab.checker import cut_off
+        from oakramp.testbed.checker import cut_off
 
         return cut_off(self.fleet.view, since, self.fleet.time.now)
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -4,15 +4,15 @@
 import itertools
 import unittest
 
-from oaklab.faults import send_plan
-from oaklab.plan import env_of
-from oaklab.simfleet import SMALL, SimFleet
 from oakramp.common.constants import ROSTER_MOST, SLOTS, TERM, VIEW_AGE
 from oakramp.common.verdict import CannotTell, Unreachable
 from oakramp.control.founding import first_cluster_id, founder_id, founding_of
 from oakramp.control.roster import ROSTER_KEY, Roster, mended
 from oakramp.control.slots import slot_of_key
 from oakramp.rpc.codec import idl
+from oakramp.testbed.faults import send_plan
+from oakramp.testbed.plan import env_of
+from oakramp.testbed.simfleet import SMALL, SimFleet
 
 SYNC_S = 4.0  # s; after this the next disk may be lost
 STEP = 0.05  # s of simulated time; how often the owners of slots are looked at
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -4,9 +4,6 @@
 import unittest
 from unittest import mock
 
-from oaklab.simdisk import SimDisk
-from oaklab.simfleet import SMALL, SimFleet
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.checks import pack_json
 from oakramp.common.logline import LogLine
 from oakramp.control import replication as replication_module, voter as voter_module
@@ -14,6 +11,9 @@
 from oakramp.control.voter import Voter
 from oakramp.rpc.codec import idl
 from oakramp.storage.ring import Ring
+from oakramp.testbed.simdisk import SimDisk
+from oakramp.testbed.simfleet import SMALL, SimFleet
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 RING = 1 << 16  # bytes; a commit holds half of it
 
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from oaklab.linearizability import Answer, Order, Read, Try, check_history
+from oakramp.testbed.linearizability import Answer, Order, Read, Try, check_history
 
 TAKEN, REFUSED, INVALID, OPEN = Answer.TAKEN, Answer.REFUSED, Answer.INVALID, Answer.OPEN
 
--- a/tests/test_old_disks.py
+++ b/tests/test_old_disks.py
@@ -6,8 +6,8 @@
 import unittest
 import zlib
 
-from oaklab.plan import PARTNERS
-from oaklab.simfleet import SMALL, SimFleet
+from oakramp.testbed.plan import PARTNERS
+from oakramp.testbed.simfleet import SMALL, SimFleet
 
 DISKS = pathlib.Path(__file__).parent / "data" / "disks-before-renaming.json"
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -7,9 +7,6 @@
 from twisted.internet import defer, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from oaklab import simfleet
-from oaklab.simfleet import SimFleet
-from oaklab.simnet import SimHost, SimReactor
 from oakramp.common.checks import pack_json
 from oakramp.common.constants import OPERATOR_LIMIT
 from oakramp.common.tasks import settled, sleep, spawn, within
@@ -20,6 +17,9 @@
 from oakramp.control.routing import ROUTING_KEY, document_from
 from oakramp.control.slots import slot_of_key
 from oakramp.gateway.routing import Router
+from oakramp.testbed import simfleet
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.simnet import SimHost, SimReactor
 
 PORT = 7481
 
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from oaklab.outages import OUTAGES, run_outage
-from oaklab.trial import SERVED_TIME
+from oakramp.testbed.outages import OUTAGES, run_outage
+from oakramp.testbed.trial import SERVED_TIME
 
 
 class Outages(unittest.TestCase):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,10 +12,10 @@
 import urllib.request
 from unittest import mock
 
-from oaklab.simfleet import SimFleet
 from oakramp.common.logline import LogLine
 from oakramp.storage.disk import FolderDisk
 from oakramp.storage.ring import Ring
+from oakramp.testbed.simfleet import SimFleet
 
 START = "from oak{0}.daemon import main; main()"
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -4,10 +4,6 @@
 import tracemalloc
 import unittest
 
-from oaklab.plan import Size
-from oaklab.simdisk import SimDisk
-from oaklab.simfleet import SimFleet
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.constants import LINE_TURNS, RETAIN_MARGIN
 from oakramp.common.logline import LogLine
 from oakramp.common.tasks import settled
@@ -15,6 +11,10 @@
 from oakramp.storage.ring import Ring
 from oakramp.store.records import RecordTable, pack_record, read_bodies, read_header
 from oakramp.store.turns import Record, TurnClient, line_key_of
+from oakramp.testbed.plan import Size
+from oakramp.testbed.simdisk import SimDisk
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 KEPT = 60  # s; for which turns are retained
 
--- a/tests/test_relay_upstream.py
+++ b/tests/test_relay_upstream.py
@@ -15,12 +15,12 @@
 from twisted.web.http import PotentialDataLoss
 from twisted.web.http_headers import Headers
 
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.constants import ANSWER_HEAD_LIMIT, CONNECT_TIME, KEPT_MARGIN, KEPT_UNTOLD, PIECES_LIMIT
 from oakramp.common.logline import LogLine
 from oakramp.common.verdict import BadRequest, Broken, NoAnswer, Overloaded, TimeSpent, TooLarge, Unreachable, Verdict
 from oakramp.http_proxy.front import Front
 from oakramp.http_proxy.upstream import Upstreams
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 from relay_wire import Limits, Reactor, tcp_pair  # noqa: E402
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -5,8 +5,6 @@
 
 from twisted.internet import defer
 
-from oaklab.simfleet import SimFleet
-from oaklab.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.common.constants import STEP_PAUSE
 from oakramp.common.tasks import spawn
 from oakramp.common.verdict import Fenced, NoAnswer
@@ -15,6 +13,8 @@
 from oakramp.control.roster import Roster
 from oakramp.control.slots import slot_of_key
 from oakramp.rpc.codec import idl, pack, unpack
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from test_images import VoterRig, entries_of
 
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from oaklab.faults import send_plan
-from oaklab.simfleet import SimFleet
-from oaklab.trial import total_outage
 from oakramp.common.tasks import sleep, spawn
 from oakramp.control.slots import slot_of_key
+from oakramp.testbed.faults import send_plan
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.trial import total_outage
 
 
 class RosterTest(unittest.TestCase):
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -4,12 +4,12 @@
 
 from second_loss import SERVED, ControlLab, StoreLab, play
 
-from oaklab.plan import Size
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import IMAGE_PART, REJOIN, SLOTS, STORES_LEAVING_TIME
 from oakramp.common.verdict import CannotTell, Gone, OakError
 from oakramp.control.storeset import STORES_KEY
 from oakramp.rpc.codec import idl
+from oakramp.testbed.plan import Size
+from oakramp.testbed.simfleet import SimFleet
 from test_store_forming import Rig
 
 
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -6,14 +6,14 @@
 
 from twisted.internet import defer
 
-from oaklab.plan import Size
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
 from oakramp.common.logline import LogLine
 from oakramp.common.metrics import Metrics
 from oakramp.common.verdict import CannotTell, Fenced, NoAnswer, RingFull, Unreachable
 from oakramp.store.store_calls import HeldBack, StoreCalls
 from oakramp.store.turns import Record, TurnClient
+from oakramp.testbed.plan import Size
+from oakramp.testbed.simfleet import SimFleet
 
 REQUESTS = 40  # that wait at one gate while its stores are away
 AWAY = 5.0  # s
--- a/tests/test_store_forming.py
+++ b/tests/test_store_forming.py
@@ -5,8 +5,6 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oaklab.plan import Size
-from oaklab.simfleet import SimFleet
 from oakramp.common.constants import VIEW_AGE
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.verdict import CannotTell, Conflict, Gone, NoAnswer, OakError, Unknown
@@ -15,6 +13,8 @@
 from oakramp.store.records import pack_record
 from oakramp.store.table import to_state
 from oakramp.store.turns import Record, TurnClient
+from oakramp.testbed.plan import Size
+from oakramp.testbed.simfleet import SimFleet
 from oakramp.version_vectors.clock import Clock
 
 KEPT = 60  # s; for which turns are retained
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from oaklab.simfleet import SimFleet
-from oaklab.trial import DAYS, run_day, run_trial
+from oakramp.testbed.simfleet import SimFleet
+from oakramp.testbed.trial import DAYS, run_day, run_trial
 
 SEEDS = (1, 3, 7, 12)
 
