--- a/packages/cli/oakramp/cli/disk.py
+++ b/packages/cli/oakramp/cli/disk.py
@@ -1,4 +1,4 @@
-"""oakctl disk check: what is wrong in the data folder of a node that is stopped."""
+"""oakrampctl disk check: what is wrong in the data folder of a node that is stopped."""
 
 import json
 import os
--- a/packages/cli/oakramp/cli/doctor.py
+++ b/packages/cli/oakramp/cli/doctor.py
@@ -1,4 +1,4 @@
-"""oakctl doctor: looks for common faults, and says for each what it comes from and what to do next."""
+"""oakrampctl doctor: looks for common faults, and says for each what it comes from and what to do next."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -100,7 +100,7 @@
                 "damage",
                 f"{survey.machine(node_id)} takes no part: {said['reason']}",
                 "its disk lost something that it had confirmed, or its files were changed",
-                "stop it, look with oakctl disk check, keep the folder, and replace the node by an empty one",
+                "stop it, look with oakrampctl disk check, keep the folder, and replace the node by an empty one",
             )
 
 
@@ -195,7 +195,7 @@
             "roster",
             f"{len(alive)} of {len(members)} voters answer, {spare} may still be lost",
             "control nodes are down or lost their disks",
-            "start them, or replace a lost one: oakctl roster replace",
+            "start them, or replace a lost one: oakrampctl roster replace",
         )
 
 
@@ -260,7 +260,7 @@
             "stores",
             f"{len(alive)} of {len(members)} stores answer, {spare} may still be lost",
             "a store is down or lost its disk",
-            "start it, or bring an empty one in its place: oakctl store replace",
+            "start it, or bring an empty one in its place: oakrampctl store replace",
         )
     for row in alive:
         if not survey.conditions[row["nodeId"]]["covers"]:
@@ -269,7 +269,7 @@
                 "stores",
                 f"{survey.machine(row['nodeId'])} does not have all lines yet",
                 "it joined or came back empty and is copying",
-                "wait; look at its lines in oakctl stores",
+                "wait; look at its lines in oakrampctl stores",
             )
 
 
@@ -340,7 +340,7 @@
                 f"{len(without_room)} tenants of {service} ({', '.join(without_room[:3])}) evict "
                 "others' prefixes and find no room",
                 "their prefixes do not fit the replicas' caches, all together",
-                "more replicas for the service, or larger caches; oakctl eviction shows the sizes",
+                "more replicas for the service, or larger caches; oakrampctl eviction shows the sizes",
             )
         elif left and placed["mode"] != "on":
             yield Finding(
@@ -348,7 +348,7 @@
                 "eviction",
                 f"{len(left)} tenants of {service} evict each other's prefixes and are not moved",
                 "the setting eviction is observe",
-                "look at oakctl eviction, and set it to on",
+                "look at oakrampctl eviction, and set it to on",
             )
 
 
--- a/packages/cli/oakramp/cli/main.py
+++ b/packages/cli/oakramp/cli/main.py
@@ -1,4 +1,4 @@
-"""oakctl: the operators' command line."""
+"""oakrampctl: the operators' command line."""
 
 import json
 import sys
@@ -131,7 +131,10 @@
 def _change(context, path, partner, change_id, body):
     change_id = change_id or uuid.uuid4().hex
     answer = ask_first(
-        _controls(context), *path, body | {"changeId": change_id}, on_maybe=f"oakctl plan outcome {partner} {change_id}"
+        _controls(context),
+        *path,
+        body | {"changeId": change_id},
+        on_maybe=f"oakrampctl plan outcome {partner} {change_id}",
     )
     show(answer | {"changeId": change_id})
 
@@ -231,7 +234,7 @@
             "POST",
             f"/v1/programs/{partner}/{name}/end",
             {},
-            on_maybe=f"oakctl program read {partner} {name}",
+            on_maybe=f"oakrampctl program read {partner} {name}",
         )
     )
 
@@ -270,7 +273,7 @@
 @click.pass_context
 def mark_leaving(context, replica):
     """Marks REPLICA as leaving: nothing more is placed on it."""
-    show(ask_first(_controls(context), "POST", f"/v1/replicas/{replica}/leaving", {}, on_maybe="oakctl replicas"))
+    show(ask_first(_controls(context), "POST", f"/v1/replicas/{replica}/leaving", {}, on_maybe="oakrampctl replicas"))
 
 
 @main.group()
@@ -297,9 +300,9 @@
 def replace_store(context, leaving, joining):
     """Empties the store LEAVING (also one that is lost) and puts the empty store JOINING in its place.
 
-    Both by machine name or node id. Goes on by itself; see `oakctl stores` for its progress.
+    Both by machine name or node id. Goes on by itself; see `oakrampctl stores` for its progress.
     """
-    _replace(context, "store", "/v1/stores", leaving, joining, "oakctl stores")
+    _replace(context, "store", "/v1/stores", leaving, joining, "oakrampctl stores")
 
 
 def _replace(context, kind, path, leaving, joining, watch_with):
@@ -344,9 +347,9 @@
 def replace_member(context, leaving, joining):
     """Puts the empty control node JOINING in the place of LEAVING (also one that is lost).
 
-    Both by machine name or node id. Goes on by itself; see `oakctl roster show`.
+    Both by machine name or node id. Goes on by itself; see `oakrampctl roster show`.
     """
-    _replace(context, "control", "/v1/roster", leaving, joining, "oakctl roster show")
+    _replace(context, "control", "/v1/roster", leaving, joining, "oakrampctl roster show")
 
 
 @store.command("cancel")
@@ -355,7 +358,9 @@
     """Calls a replacement off, as long as the newcomer is only copying."""
     controls = _controls(context)
     record = ask_first(controls, "GET", "/v1/stores")
-    answer = ask_first(controls, "POST", "/v1/stores/cancel", {"basedOn": record["version"]}, on_maybe="oakctl stores")
+    answer = ask_first(
+        controls, "POST", "/v1/stores/cancel", {"basedOn": record["version"]}, on_maybe="oakrampctl stores"
+    )
     click.echo(f"epoch {answer['version']}: {answer['phase']}")
 
 
--- a/packages/control/oakramp/control/claim.py
+++ b/packages/control/oakramp/control/claim.py
@@ -1,8 +1,8 @@
 """Claims: a plain request with a key runs at most once.
 
 Invariants of claim/P/K: one claim holds the key at a time; `done` keeps its answer, if it is small
-enough; `back` tells admissions that were taken back from later ones (oakramp/control/admission.py); an entry is let go only
-when this owner has counted the time below since its last change or since it took the slot over, whichever is later.
+enough; `back` tells admissions that were taken back from later ones (oakramp/control/admission.py); an entry is let
+go only when this owner has counted the time below since its last change or since it took the slot over, whichever is later.
 
 A claim whose gate has vanished stays claimed: its request may have run, and nobody will ever know. So the key is in
 progress until the entry is let go, and never runs again within the window.
--- a/packages/control/oakramp/control/daemon.py
+++ b/packages/control/oakramp/control/daemon.py
@@ -1,4 +1,4 @@
-"""oakcored: a control node."""
+"""oakramp-control: a control node."""
 
 from oakramp.common.env import CONTROL_ENV
 from oakramp.control.control import ControlNode
@@ -7,5 +7,8 @@
 
 def main():
     run_daemon(
-        "oakcored", CONTROL_ENV, "A control node of oakramp: votes on control state and owns slots of it.", ControlNode
+        "oakramp-control",
+        CONTROL_ENV,
+        "A control node of oakramp: votes on control state and owns slots of it.",
+        ControlNode,
     )
--- a/packages/gateway/oakramp/gateway/daemon.py
+++ b/packages/gateway/oakramp/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""oakgated: a gate node."""
+"""oakramp-gateway: a gate node."""
 
 from oakramp.common.env import COMMON_ENV
 from oakramp.gateway.gate import GateNode
@@ -7,5 +7,8 @@
 
 def main():
     run_daemon(
-        "oakgated", COMMON_ENV, "A gate of oakramp: takes callers' requests and carries them to replicas.", GateNode
+        "oakramp-gateway",
+        COMMON_ENV,
+        "A gate of oakramp: takes callers' requests and carries them to replicas.",
+        GateNode,
     )
--- a/packages/store/oakramp/store/daemon.py
+++ b/packages/store/oakramp/store/daemon.py
@@ -1,4 +1,4 @@
-"""oakstored: a store node."""
+"""oakramp-store: a store node."""
 
 from oakramp.common.env import DISK_ENV
 from oakramp.gossip.program import run_daemon
@@ -6,4 +6,4 @@
 
 
 def main():
-    run_daemon("oakstored", DISK_ENV, "A store node of oakramp: keeps the history of program lines.", StoreNode)
+    run_daemon("oakramp-store", DISK_ENV, "A store node of oakramp: keeps the history of program lines.", StoreNode)
--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -897,7 +897,7 @@
 
 @MEASURES.enter("capacity")
 def capacity(seed=1):
-    """Slopes for docs/CAPACITY.md, all but the longest; each alone by `oaklab measure capacity.NAME`."""
+    """Slopes for docs/CAPACITY.md, all but the longest; each alone by `oakramp-testbed measure capacity.NAME`."""
     return {
         f"{name}: {what}": value
         for name in SLOPES.names()
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -31,7 +31,7 @@
 
 SERVICE = "lm"
 ZONES = ("za", "zb", "zc")
-NEWS_TIME = 0.5  # s; from the owner to the last gate, as `oaklab measure plans` has it
+NEWS_TIME = 0.5  # s; from the owner to the last gate, as `oakramp-testbed measure plans` has it
 BUCKET = 5.0  # s; in which late answers are counted for the end of a trap
 BUCKET_LATE = 0.02  # share of late answers in a bucket; above it the trap is not over
 PATIENCE = 10.0  # s; a request that found no room by then counts as late
--- a/packages/testbed/oakramp/testbed/explore/command.py
+++ b/packages/testbed/oakramp/testbed/explore/command.py
@@ -1,4 +1,4 @@
-"""The command `oaklab explore`."""
+"""The command `oakramp-testbed explore`."""
 
 import contextlib
 import multiprocessing
--- a/packages/testbed/oakramp/testbed/fleet.py
+++ b/packages/testbed/oakramp/testbed/fleet.py
@@ -10,7 +10,7 @@
 from oakramp.cli.asking import ask
 from oakramp.testbed.plan import PARTNERS, PLATFORM, SIZES, blueprint_of, env_of, machines_of
 
-PROGRAMS = {"control": "oakcored", "store": "oakstored", "gate": "oakgated"}
+PROGRAMS = {"control": "oakramp-control", "store": "oakramp-store", "gate": "oakramp-gateway"}
 START_TIME = 30.0  # s; a dozen interpreters starting at once on a busy machine
 
 
@@ -35,7 +35,7 @@
             self._processes[name] = subprocess.Popen(command, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
     def start_standins(self):
-        self._spawn("standins", [_program("oaklab"), "standins", "--size", self.size_name])
+        self._spawn("standins", [_program("oakramp-testbed"), "standins", "--size", self.size_name])
 
     def start(self, name):
         machine = next(one for one in self.machines if one.name == name)
@@ -74,8 +74,8 @@
     # --- bringing it up ---
 
     def control(self, *words):
-        """Runs oakctl as an operator would."""
-        command = [_program("oakctl")]
+        """Runs oakrampctl as an operator would."""
+        command = [_program("oakrampctl")]
         for machine in self.of_kind("control"):
             command += ["--control", machine.http]
         return subprocess.run([*command, *words], capture_output=True, text=True, check=False)
--- a/packages/testbed/oakramp/testbed/main.py
+++ b/packages/testbed/oakramp/testbed/main.py
@@ -1,4 +1,4 @@
-"""oaklab: whole fleets on one machine, stand-ins, simulator."""
+"""oakramp-testbed: whole fleets on one machine, stand-ins, simulator."""
 
 import json
 import multiprocessing
@@ -256,7 +256,7 @@
 @main.command(hidden=True)
 @click.argument("spec")
 def hollow(spec):
-    """One process of hollow nodes; `oaklab scale` starts it."""
+    """One process of hollow nodes; `oakramp-testbed scale` starts it."""
     run_hollow(json.loads(spec))
 
 
--- a/packages/testbed/oakramp/testbed/scale.py
+++ b/packages/testbed/oakramp/testbed/scale.py
@@ -41,8 +41,10 @@
 CONTROL_HOSTS = "200"  # third byte of the control nodes' addresses, above those of hollow nodes
 PROCESS_BYTES = 70 << 20  # bytes; an interpreter with the product's modules, more than was ever seen
 NODE_BYTES = 300 << 10  # bytes; a hollow node that knows nobody, with its connections
-KNOWN_BYTES = 2 << 10  # bytes; for each other node that a node knows (measured: `oaklab measure capacity.known`)
-LISTED_BYTES = 140  # bytes; for each replica in a node's news (`oaklab measure capacity.replicas`)
+KNOWN_BYTES = (
+    2 << 10
+)  # bytes; for each other node that a node knows (measured: `oakramp-testbed measure capacity.known`)
+LISTED_BYTES = 140  # bytes; for each replica in a node's news (`oakramp-testbed measure capacity.replicas`)
 MOST_PROCESSES = 200  # processes; the users allow a few hundred on one machine
 MOST_HOLLOW = 10000  # nodes; addresses are for so many
 MOST_REPLICAS = 12000  # replicas; the list of the size that the users expect
--- a/packages/testbed/oakramp/testbed/takeout.py
+++ b/packages/testbed/oakramp/testbed/takeout.py
@@ -259,7 +259,7 @@
     ),
     TakeOut(
         "what a request says twice is refused",
-        "../platform/oakplatform/dialect.py",
+        "../platform/oakramp_platform/dialect.py",
         "if len(set(names)) == len(names):",
         "if True:",
         "test_relay_calls.Ambiguous.test_what_two_readers_could_take_in_two_ways_is_refused",
