--- a/packages/cli/oakramp/cli/asking.py
+++ b/packages/cli/oakramp/cli/control_client.py
@@ -5,7 +5,7 @@
 
 import click
 
-from oakramp.common.env import is_address, split_address
+from oakramp.common.settings import is_address, split_address
 
 ASK_TIME = 15.0  # s; outlasts a take-over and the control nodes' own bound on a change
 
--- a/packages/cli/oakramp/cli/disk.py
+++ b/packages/cli/oakramp/cli/disk_check.py
@@ -4,9 +4,9 @@
 import os
 
 from oakramp.membership.identity import IDENTITY_FILE
-from oakramp.storage.check import RING_FILE, check_ring
 from oakramp.storage.disk import UNFINISHED
-from oakramp.store.store import EMPTYING
+from oakramp.storage.disk_check import RING_FILE, check_ring
+from oakramp.store.store_node import EMPTYING
 
 WELL, WORTH_A_LOOK, DAMAGED = 0, 3, 4  # exit codes, as those of the doctor
 IDENTITY_FIELDS = "nodeId", "clusterId", "addresses"
--- a/packages/cli/oakramp/cli/main.py
+++ b/packages/cli/oakramp/cli/main.py
@@ -7,8 +7,8 @@
 
 import click
 
-from oakramp.cli.asking import ADDRESS_TYPE, Refusal, ask, ask_first, show
-from oakramp.cli.disk import check_folder
+from oakramp.cli.control_client import ADDRESS_TYPE, Refusal, ask, ask_first, show
+from oakramp.cli.disk_check import check_folder
 from oakramp.cli.doctor import CHECKS, examine, take_survey, worst_code
 from oakramp.cli.eviction import lines_of
 
--- a/packages/common/oakramp/common/inbox.py
+++ b/packages/common/oakramp/common/bounded_queue.py
@@ -4,8 +4,8 @@
 
 from twisted.internet import defer
 
+from oakramp.common.errors import Overloaded
 from oakramp.common.tasks import drive
-from oakramp.common.verdict import Overloaded
 
 
 class Inbox:
--- a/packages/common/oakramp/common/fetch.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -13,10 +13,10 @@
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
 from zope.interface import implementer
 
-from oakramp.common.checks import pack_json, parse_json
 from oakramp.common.constants import BODY_LIMIT, CONNECT_TIME
+from oakramp.common.errors import BadRequest, Broken, NoAnswer, OakError, TooLarge, Unreachable, Verdict
 from oakramp.common.tasks import within
-from oakramp.common.verdict import BadRequest, Broken, NoAnswer, OakError, TooLarge, Unreachable, Verdict
+from oakramp.common.validation import pack_json, parse_json
 
 
 @implementer(IBodyProducer)
--- a/packages/common/oakramp/common/web.py
+++ b/packages/common/oakramp/common/http_server.py
@@ -6,11 +6,11 @@
 from twisted.protocols import policies
 from twisted.web import resource, server
 
-from oakramp.common.checks import pack_json, parse_json
 from oakramp.common.constants import BODY_LIMIT, IDLE_CALLER_TIME, LINGER_TIME, QUIET_TIME
-from oakramp.common.env import split_address
+from oakramp.common.errors import BadRequest, OakError, Overloaded, TooLarge, Unknown, Verdict
+from oakramp.common.settings import split_address
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import BadRequest, OakError, Overloaded, TooLarge, Unknown, Verdict
+from oakramp.common.validation import pack_json, parse_json
 
 
 class _Request(server.Request):
--- a/packages/common/oakramp/common/registry.py
+++ b/packages/common/oakramp/common/registry.py
@@ -1,6 +1,6 @@
 """Plug-ins by entry in a registry."""
 
-from oakramp.common.verdict import Unknown
+from oakramp.common.errors import Unknown
 
 
 class Registry:
--- a/packages/common/oakramp/common/env.py
+++ b/packages/common/oakramp/common/settings.py
@@ -7,9 +7,9 @@
 
 from schema import And, Optional, Or
 
-from oakramp.common.checks import NAME, check_fields, one_of, whole
-from oakramp.common.logline import FORMATS, LEVELS
-from oakramp.common.verdict import BadRequest, EnvError
+from oakramp.common.errors import BadRequest, EnvError
+from oakramp.common.structured_logging import FORMATS, LEVELS
+from oakramp.common.validation import NAME, check_fields, one_of, whole
 
 
 def is_address(text):
--- a/packages/common/oakramp/common/tasks.py
+++ b/packages/common/oakramp/common/tasks.py
@@ -5,8 +5,8 @@
 from twisted.internet import defer
 from twisted.python.failure import Failure
 
+from oakramp.common.errors import OakError, TimeSpent
 from oakramp.common.reactor import install
-from oakramp.common.verdict import OakError, TimeSpent
 
 
 def monotonic_reactor():
--- a/packages/common/oakramp/common/checks.py
+++ b/packages/common/oakramp/common/validation.py
@@ -5,7 +5,7 @@
 from schema import And, Optional, Schema, SchemaError
 
 from oakramp.common.constants import NAME_LIMIT
-from oakramp.common.verdict import BadRequest, TooLarge
+from oakramp.common.errors import BadRequest, TooLarge
 
 
 def is_name(text):
--- a/packages/control/oakramp/control/admin.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -2,16 +2,16 @@
 
 from schema import And
 
-from oakramp.common.checks import NAME, check_fields
 from oakramp.common.constants import CALL_TIME, ROSTER_MOVING_PAUSE
-from oakramp.common.env import ADDRESS
+from oakramp.common.errors import BadRequest, CannotTell, Conflict, Refused
+from oakramp.common.settings import ADDRESS
 from oakramp.common.tasks import sleep
-from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Refused
-from oakramp.control.contact import answers_now
-from oakramp.control.placement import PLACEMENT_KEY
-from oakramp.control.places import REPLICAS_KEY
-from oakramp.control.roster import ROSTER_KEY, Roster
-from oakramp.control.storeset import STORES_KEY, stores_shown
+from oakramp.common.validation import NAME, check_fields
+from oakramp.control.prefix_placement import PLACEMENT_KEY
+from oakramp.control.quorum_contact import answers_now
+from oakramp.control.replica_registry import REPLICAS_KEY
+from oakramp.control.store_membership import STORES_KEY, stores_shown
+from oakramp.control.voting_configuration import ROSTER_KEY, Roster
 
 READ_TIME = 2 * CALL_TIME  # s; an owner may change once while an operator reads
 CHANGE_TIME = 4 * CALL_TIME  # s; a change outlasts one take-over before it is answered with maybe
--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -19,12 +19,12 @@
 
 from schema import And, Or
 
-from oakramp.common.checks import NAME, check_fields, whole
 from oakramp.common.constants import BLUEPRINT_AGE, ENDING_MARKS, TURNS_LIMIT, UNITS_LIMIT
-from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Ended, InProgress, Refused, Unknown
-from oakramp.control.admission import NUMBER, is_back, note_back
-from oakramp.control.blueprint import news_of
+from oakramp.common.errors import BadRequest, CannotTell, Conflict, Ended, InProgress, Refused, Unknown
+from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.plan import news_of
+from oakramp.control.reservation_numbers import NUMBER, is_back, note_back
 from oakramp.membership.members import SILENT
 
 TURN = And(str, len, error="must be LINE/TURN")
--- a/packages/control/oakramp/control/control.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -3,34 +3,34 @@
 import time
 
 from oakramp.common.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
+from oakramp.common.errors import OakError
+from oakramp.common.http_server import Web
 from oakramp.common.metrics import Metrics, serve_metrics
 from oakramp.common.tasks import settled, sleep, spawn
-from oakramp.common.verdict import OakError
-from oakramp.common.web import Web
 from oakramp.control import (  # noqa: F401  each enters its controller
-    allowance,
-    blueprint,
     budget,
-    claim,
-    placement,
-    places,
-    roster,
+    idempotency,
+    plan,
+    prefix_placement,
+    replica_registry,
     routing,
-    storeset,
+    store_membership,
+    token_budget,
+    voting_configuration,
 )
-from oakramp.control.admin import Admin
-from oakramp.control.client import MajorityClient, OwnerClient
-from oakramp.control.founding import found, founding_of
-from oakramp.control.lapse import LapseWatch
-from oakramp.control.operator import Operator
-from oakramp.control.owner import Owners, TermRider
-from oakramp.control.placement import PlacementWatch
-from oakramp.control.platform import PlatformWatch
-from oakramp.control.roster import RosterWatch
-from oakramp.control.storeset import StoreSetWatch
+from oakramp.control.admin_api import Admin
+from oakramp.control.bootstrap import found, founding_of
+from oakramp.control.lease_expiry import LapseWatch
+from oakramp.control.operator_api import Operator
+from oakramp.control.prefix_placement import PlacementWatch
+from oakramp.control.replica_discovery import PlatformWatch
+from oakramp.control.shard_client import MajorityClient, OwnerClient
+from oakramp.control.shard_leader import Owners, TermRider
+from oakramp.control.store_membership import StoreSetWatch
 from oakramp.control.voter import Voter
+from oakramp.control.voting_configuration import RosterWatch
 from oakramp.gossip.node import Node
-from oakramp.storage.ring import Ring
+from oakramp.storage.circular_log import Ring
 
 
 class ControlNode:
--- a/packages/control/oakramp/control/controllers.py
+++ b/packages/control/oakramp/control/controllers.py
@@ -4,8 +4,8 @@
 before its result leaves the owner. Commands are plain functions: no waiting, no I/O, no wall time.
 """
 
+from oakramp.common.errors import NoMethod, Unknown
 from oakramp.common.registry import Registry
-from oakramp.common.verdict import NoMethod, Unknown
 
 CONTROLLERS = Registry("controller")
 SLOT_SOURCE = "slot/"  # before a slot's number: the news source that names its owner
--- a/packages/control/oakramp/control/daemon.py
+++ b/packages/control/oakramp/control/daemon.py
@@ -1,8 +1,8 @@
 """oakramp-control: a control node."""
 
-from oakramp.common.env import CONTROL_ENV
-from oakramp.control.control import ControlNode
-from oakramp.gossip.program import run_daemon
+from oakramp.common.settings import CONTROL_ENV
+from oakramp.control.control_node import ControlNode
+from oakramp.gossip.daemon import run_daemon
 
 
 def main():
--- a/packages/control/oakramp/control/claim.py
+++ b/packages/control/oakramp/control/idempotency.py
@@ -1,8 +1,8 @@
 """Claims: a plain request with a key runs at most once.
 
-Invariants of claim/P/K: one claim holds the key at a time; `done` keeps its answer, if it is small
-enough; `back` tells admissions that were taken back from later ones (oakramp/control/admission.py); an entry is let
-go only when this owner has counted the time below since its last change or since it took the slot over, whichever is later.
+Invariants of claim/P/K: one claim holds the key at a time; `done` keeps its answer, if it is small enough; `back` tells
+admissions that were taken back from later ones (oakramp/control/reservation_numbers.py); an entry is removed only when
+this owner has counted the time below since its last change or since it took the slot over, whichever is later.
 
 A claim whose gate has vanished stays claimed: its request may have run, and nobody will ever know. So the key is in
 progress until the entry is let go, and never runs again within the window.
@@ -10,11 +10,11 @@
 
 from schema import Optional, Or
 
-from oakramp.common.checks import NAME, check_fields
 from oakramp.common.constants import CLAIM_KEPT
-from oakramp.common.verdict import Conflict, InProgress, Refused
-from oakramp.control.admission import NUMBER, is_back, note_back
+from oakramp.common.errors import Conflict, InProgress, Refused
+from oakramp.common.validation import NAME, check_fields
 from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.reservation_numbers import NUMBER, is_back, note_back
 
 ADMISSION = {"print": str, "admission": NAME, "gate": NAME, "number": NUMBER}
 
--- a/packages/control/oakramp/control/moves.py
+++ b/packages/control/oakramp/control/leader_changes.py
@@ -11,8 +11,8 @@
 from twisted.internet.defer import Deferred
 
 from oakramp.common.constants import OWNER_LEFT_PAUSE
+from oakramp.common.errors import NoAnswer
 from oakramp.common.tasks import begin
-from oakramp.common.verdict import NoAnswer
 from oakramp.control.controllers import SLOT_SOURCE
 
 
--- a/packages/control/oakramp/control/operator.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -20,7 +20,6 @@
 import json
 from hashlib import blake2b
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     FRAME_LIMIT,
     OPERATOR_ANSWER_AGE,
@@ -29,10 +28,11 @@
     OPERATOR_RETRY,
     OPERATOR_TIME,
 )
-from oakramp.common.verdict import BadRequest, CannotTell, Invalid, OakError, TooLarge, Unknown, Verdict
-from oakramp.common.web import Web
+from oakramp.common.errors import BadRequest, CannotTell, Invalid, OakError, TooLarge, Unknown, Verdict
+from oakramp.common.http_server import Web
+from oakramp.common.validation import pack_json
 from oakramp.control.routing import ROUTING_KEY, apply_patch, check_table, document_from, pieces_of
-from oakramp.control.storeset import STORES_KEY
+from oakramp.control.store_membership import STORES_KEY
 
 AGAIN = 503  # the status of whatever is to be asked for again
 FRAME_ROOM = 64 << 10  # bytes; of a frame, for what is around a command's arguments
--- a/packages/control/oakramp/control/blueprint.py
+++ b/packages/control/oakramp/control/plan.py
@@ -11,7 +11,6 @@
 
 from schema import And, Optional
 
-from oakramp.common.checks import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
 from oakramp.common.constants import (
     BLUEPRINTS_KEPT,
     ENDS_AFTER_LEAST,
@@ -20,11 +19,12 @@
     TIME_LEFT_LIMIT,
     UNITS_LIMIT,
 )
+from oakramp.common.errors import BadRequest, CannotTell, Conflict, Invalid, Lost, Unknown, Verdict
 from oakramp.common.registry import Registry
-from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, Lost, Unknown, Verdict
+from oakramp.common.validation import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
 from oakramp.control.controllers import CONTROLLERS, SLOT_SOURCE, Controller
-from oakramp.control.places import REPLICAS_KEY
-from oakramp.membership.rendezvous import slot_of
+from oakramp.control.replica_registry import REPLICAS_KEY
+from oakramp.membership.rendezvous_hashing import slot_of
 
 BINDING = {
     "kind": one_of("model", "plain"),
--- a/packages/control/oakramp/control/placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -10,7 +10,6 @@
 
 from schema import And
 
-from oakramp.common.checks import NAME, check_fields, one_of, pack_json, whole
 from oakramp.common.constants import (
     EVICTION_ROUND,
     FINDINGS_SHOWN,
@@ -19,10 +18,11 @@
     TENANTS_NAMED,
     TENANTS_TOLD,
 )
-from oakramp.common.env import EVICTION_MODES, eviction_mode
+from oakramp.common.settings import EVICTION_MODES, eviction_mode
+from oakramp.common.validation import NAME, check_fields, one_of, pack_json, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
-from oakramp.control.duty import Duty
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.replica_registry import REPLICAS_KEY
+from oakramp.control.singleton_task import Duty
 from oakramp.prefix_cache.decision import Decision
 from oakramp.prefix_cache.detector import Window
 
--- a/packages/control/oakramp/control/preparation.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -3,9 +3,9 @@
 from sortedcontainers import SortedDict
 
 from oakramp.common.constants import CALL_TIME, TERM, TERM_RENEW
+from oakramp.common.errors import CannotTell, Fenced
 from oakramp.common.tasks import quorum_of, sleep
-from oakramp.common.verdict import CannotTell, Fenced
-from oakramp.control.former import FormerTerms
+from oakramp.control.previous_leases import FormerTerms
 
 
 def is_moving(error):
--- a/packages/control/oakramp/control/contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -6,8 +6,8 @@
 """
 
 from oakramp.common.constants import CONTACT_GAP, MAJORITY_WAIT, VIEW_AGE
+from oakramp.common.errors import CannotTell, TimeSpent
 from oakramp.common.tasks import quorum_of, within
-from oakramp.common.verdict import CannotTell, TimeSpent
 
 
 class Contact:
--- a/packages/control/oakramp/control/platform.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -16,7 +16,6 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oakramp.common.checks import pack_json, parse_json
 from oakramp.common.constants import (
     PLATFORM_BACKOFF,
     PLATFORM_BOUND_SHARE,
@@ -30,11 +29,12 @@
     PLATFORM_TICKS,
     PLATFORM_TIME,
 )
-from oakramp.common.fetch import WebClient
+from oakramp.common.errors import CannotTell, OakError, PlatformAway
+from oakramp.common.http_client import WebClient
 from oakramp.common.tasks import quorum_of, shielded, sleep, within
-from oakramp.common.verdict import CannotTell, OakError, PlatformAway
-from oakramp.control.duty import Duty
-from oakramp.control.places import REPLICAS_KEY, readable
+from oakramp.common.validation import pack_json, parse_json
+from oakramp.control.replica_registry import REPLICAS_KEY, readable
+from oakramp.control.singleton_task import Duty
 
 TOO_OFTEN = 429
 STATES = ("ready", "leaving")
--- a/packages/control/oakramp/control/places.py
+++ b/packages/control/oakramp/control/replica_registry.py
@@ -2,10 +2,10 @@
 
 from schema import Optional, Or
 
-from oakramp.common.checks import NAME, check_fields, faults_of, one_of, pack_json, whole
 from oakramp.common.constants import NAME_LIMIT
-from oakramp.common.env import ADDRESS
-from oakramp.common.verdict import BadRequest, Unknown
+from oakramp.common.errors import BadRequest, Unknown
+from oakramp.common.settings import ADDRESS
+from oakramp.common.validation import NAME, check_fields, faults_of, one_of, pack_json, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
 
 REPLICAS_KEY = "replicas"
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -20,9 +20,9 @@
     UNANSWERED_STEPS,
     UPDATE_LIMIT,
 )
+from oakramp.common.errors import CannotTell, NoAnswer, NotOwner, OakError
 from oakramp.common.tasks import spawn, within
-from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError
-from oakramp.control.slots import ENTRY_COST, in_parts
+from oakramp.control.shards import ENTRY_COST, in_parts
 from oakramp.rpc.codec import idl
 
 
--- a/packages/control/oakramp/control/admission.py
+++ b/packages/control/oakramp/control/reservation_numbers.py
@@ -5,7 +5,7 @@
 taken back before. Rows of gates that are long gone are dropped: what such a gate asked for is given up anyway.
 """
 
-from oakramp.common.checks import whole
+from oakramp.common.validation import whole
 
 NUMBER = whole(1, 1 << 53)
 
--- a/packages/control/oakramp/control/routing.py
+++ b/packages/control/oakramp/control/routing.py
@@ -23,11 +23,11 @@
 
 from schema import Optional
 
-from oakramp.common.checks import NAME, check_fields, whole
 from oakramp.common.constants import CHANGES_REMEMBERED
-from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
+from oakramp.common.errors import CannotTell, Invalid, Lost, Verdict
+from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
-from oakramp.control.slots import pack_entry, unpack_entry
+from oakramp.control.shards import pack_entry, unpack_entry
 
 ROUTING_KEY = "routing"
 VERSION = whole(0, 1 << 53)
--- a/packages/control/oakramp/control/client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -4,7 +4,6 @@
 
 from twisted.internet.defer import CancelledError
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     MAJORITY_DOUBT,
     MAJORITY_WAIT,
@@ -14,12 +13,13 @@
     SETTLE_TIME,
     TERM,
 )
+from oakramp.common.errors import CannotTell, NoAnswer, NotOwner, OakError, Verdict
 from oakramp.common.tasks import begin, shielded, sleep, spawn
-from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, Verdict
-from oakramp.control.contact import answers_now
+from oakramp.common.validation import pack_json
 from oakramp.control.controllers import SLOT_SOURCE
-from oakramp.control.moves import OwnerMoves
-from oakramp.control.slots import slot_of_key
+from oakramp.control.leader_changes import OwnerMoves
+from oakramp.control.quorum_contact import answers_now
+from oakramp.control.shards import slot_of_key
 
 # Codes of errors that say nothing of the key: no answer came, or it came from who is no owner.
 NO_OWNERS_WORD = frozenset(["noAnswer", "unreachable", "overloaded", "timeSpent", "noMethod", "fenced"])
--- a/packages/control/oakramp/control/owner.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import defer
 
-from oakramp.common.checks import pack_json
+from oakramp.common.bounded_queue import Inbox
 from oakramp.common.constants import (
     CALL_TIME,
     CONDITION_AGE,
@@ -29,17 +29,17 @@
     VIEW_RETRY,
     VOTERS_LOOK,
 )
-from oakramp.common.inbox import Inbox
+from oakramp.common.errors import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
 from oakramp.common.tasks import Repeater, drive, sleep, spawn, within
-from oakramp.common.verdict import CannotTell, NoAnswer, NotOwner, OakError, RingFull, Unknown, Verdict
-from oakramp.control.contact import Contact
+from oakramp.common.validation import pack_json
 from oakramp.control.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
-from oakramp.control.preparation import Preparation, is_moving
+from oakramp.control.prepare_phase import Preparation, is_moving
+from oakramp.control.quorum_contact import Contact
 from oakramp.control.replication import Offer, SlotProgress, StepBatcher, VoterUpdates
-from oakramp.control.slots import slot_of_key
-from oakramp.control.view import View
+from oakramp.control.shards import slot_of_key
+from oakramp.control.transaction import View
 from oakramp.membership.members import LIVE
-from oakramp.membership.rendezvous import ranked
+from oakramp.membership.rendezvous_hashing import ranked
 from oakramp.rpc.codec import idl, pack
 
 
--- a/packages/control/oakramp/control/slots.py
+++ b/packages/control/oakramp/control/shards.py
@@ -3,10 +3,10 @@
 import json
 import zlib
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import ENTRY_LIMIT, SLOTS
-from oakramp.common.verdict import TooLarge
-from oakramp.membership.rendezvous import slot_of
+from oakramp.common.errors import TooLarge
+from oakramp.common.validation import pack_json
+from oakramp.membership.rendezvous_hashing import slot_of
 
 ENTRY_COST = 64  # bytes; what an entry takes besides its key and value, in messages and on the disk, at most
 PACK_FROM = 4096  # bytes; below this an entry is not worth compressing
--- a/packages/control/oakramp/control/duty.py
+++ b/packages/control/oakramp/control/singleton_task.py
@@ -2,7 +2,7 @@
 former holder still asks for is fenced by the slot's epoch or lost against a newer version."""
 
 from oakramp.common.tasks import Repeater
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 
 
 class Duty:
--- a/packages/control/oakramp/control/storeset.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -31,7 +31,6 @@
 
 from schema import And, Optional
 
-from oakramp.common.checks import NAME, check_fields, pack_json, whole
 from oakramp.common.constants import (
     CALL_TIME,
     CONDITION_AGE,
@@ -45,11 +44,12 @@
     STORES_MOVING_PAUSE,
     STORES_PATIENCE,
 )
-from oakramp.common.env import ADDRESS
+from oakramp.common.errors import CannotTell, Conflict, Fenced, Lost, OakError, Refused, Unknown
+from oakramp.common.settings import ADDRESS
 from oakramp.common.tasks import quorum_of, settled, sleep
-from oakramp.common.verdict import CannotTell, Conflict, Fenced, Lost, OakError, Refused, Unknown
+from oakramp.common.validation import NAME, check_fields, pack_json, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
-from oakramp.control.duty import Duty
+from oakramp.control.singleton_task import Duty
 from oakramp.membership.members import LEAVING, LIVE
 
 STORES_KEY = "storeset"
--- a/packages/control/oakramp/control/allowance.py
+++ b/packages/control/oakramp/control/token_budget.py
@@ -16,9 +16,9 @@
 
 from schema import And
 
-from oakramp.common.checks import NAME, check_fields, whole
 from oakramp.common.constants import ALLOWANCE_CLOSED, ALLOWANCE_KEPT, ALLOWANCE_OPEN, CONDITION_AGE, UNITS_LIMIT
-from oakramp.common.verdict import BadRequest, InProgress, Overloaded, Refused, Unknown
+from oakramp.common.errors import BadRequest, InProgress, Overloaded, Refused, Unknown
+from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
 
 TURN = And(str, len, error="must be a turn's id")
--- a/packages/control/oakramp/control/view.py
+++ b/packages/control/oakramp/control/transaction.py
@@ -3,7 +3,7 @@
 from collections import ChainMap
 from itertools import takewhile
 
-from oakramp.control.slots import pack_entry, unpack_entry
+from oakramp.control.shards import pack_entry, unpack_entry
 
 
 class View:
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -8,13 +8,13 @@
 
 from sortedcontainers import SortedDict
 
-from oakramp.common.checks import pack_json
+from oakramp.common.bounded_queue import TableOwner
 from oakramp.common.constants import CONTROL_FULL, CONTROL_INBOX, IMAGE_PART, SLOT_FULL, SLOTS, TERM
-from oakramp.common.inbox import TableOwner
+from oakramp.common.errors import Fenced, RingFull
 from oakramp.common.tasks import spawn
-from oakramp.common.verdict import Fenced, RingFull
-from oakramp.control.roster import Roster
-from oakramp.control.slots import ENTRY_COST, in_parts
+from oakramp.common.validation import pack_json
+from oakramp.control.shards import ENTRY_COST, in_parts
+from oakramp.control.voting_configuration import Roster
 from oakramp.rpc.codec import idl, unpack
 
 
--- a/packages/control/oakramp/control/roster.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -27,7 +27,6 @@
 
 from schema import And
 
-from oakramp.common.checks import NAME, check_fields, pack_json, whole
 from oakramp.common.constants import (
     CALL_TIME,
     CONDITION_AGE,
@@ -40,11 +39,12 @@
     ROSTER_PAUSE,
     SLOTS,
 )
-from oakramp.common.env import ADDRESS
+from oakramp.common.errors import CannotTell, Conflict, Lost, Refused, Unknown
+from oakramp.common.settings import ADDRESS
 from oakramp.common.tasks import quorum_of, sleep, spawn
-from oakramp.common.verdict import CannotTell, Conflict, Lost, Refused, Unknown
+from oakramp.common.validation import NAME, check_fields, pack_json, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
-from oakramp.control.duty import Duty
+from oakramp.control.singleton_task import Duty
 from oakramp.membership.members import LIVE
 
 ROSTER_KEY = "roster"
--- a/packages/gateway/oakramp/gateway/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -27,11 +27,11 @@
     RETRY_AFTER_LEAST,
     SHED_PAUSE,
 )
+from oakramp.common.errors import Overloaded, TimeSpent
 from oakramp.common.tasks import within
-from oakramp.common.verdict import Overloaded, TimeSpent
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.gateway.outliers import Outliers
-from oakramp.membership.rendezvous import score
+from oakramp.membership.rendezvous_hashing import score
 
 
 @dataclass
--- a/packages/gateway/oakramp/gateway/base.py
+++ b/packages/gateway/oakramp/gateway/base.py
@@ -3,10 +3,10 @@
 import itertools
 
 from oakramp.common.constants import RETRY_AFTER, SETTLE_INBOX
+from oakramp.common.errors import Overloaded
 from oakramp.common.metrics import Metrics
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import Overloaded
-from oakramp.control.client import OwnerClient
+from oakramp.control.shard_client import OwnerClient
 from oakramp.gossip.node import Node
 
 SETTLED_LOOK = 0.1  # s; how often a stopping gate looks whether everything is settled
--- a/packages/gateway/oakramp/gateway/bindings.py
+++ b/packages/gateway/oakramp/gateway/bindings.py
@@ -5,10 +5,10 @@
 from cachetools import LRUCache
 
 from oakramp.common.constants import BLUEPRINT_AGE, FRESH_POLL, REPLICA_AGE
+from oakramp.common.errors import BadRequest, CannotTell, Refused, Unknown
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import BadRequest, CannotTell, Refused, Unknown
-from oakramp.control.blueprint import news_of
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.plan import news_of
+from oakramp.control.replica_registry import REPLICAS_KEY
 
 
 class Bindings:
--- a/packages/gateway/oakramp/gateway/daemon.py
+++ b/packages/gateway/oakramp/gateway/daemon.py
@@ -1,8 +1,8 @@
 """oakramp-gateway: a gate node."""
 
-from oakramp.common.env import COMMON_ENV
-from oakramp.gateway.gate import GateNode
-from oakramp.gossip.program import run_daemon
+from oakramp.common.settings import COMMON_ENV
+from oakramp.gateway.gateway_node import GateNode
+from oakramp.gossip.daemon import run_daemon
 
 
 def main():
--- a/packages/gateway/oakramp/gateway/carry.py
+++ b/packages/gateway/oakramp/gateway/forwarding.py
@@ -3,9 +3,9 @@
 import json
 
 from oakramp.common.constants import CARRY_TRIES
+from oakramp.common.errors import Broken, NoAnswer, OakError, Overloaded, Rebound, TimeSpent, Verdict
 from oakramp.common.tasks import within
-from oakramp.common.verdict import Broken, NoAnswer, OakError, Overloaded, Rebound, TimeSpent, Verdict
-from oakramp.gateway.placer import Wish, prefix_of
+from oakramp.gateway.load_balancer import Wish, prefix_of
 
 
 class Carrier:
--- a/packages/gateway/oakramp/gateway/gate.py
+++ b/packages/gateway/oakramp/gateway/gateway_node.py
@@ -3,16 +3,16 @@
 import time
 
 from oakramp.common.constants import ACCEPT_INBOX, SETTLE_TIME
-from oakramp.common.fetch import WebClient
+from oakramp.common.http_client import WebClient
+from oakramp.common.http_server import Web
 from oakramp.common.metrics import serve_metrics
-from oakramp.common.web import Web
 from oakramp.gateway.base import GateBase
 from oakramp.gateway.bindings import Bindings
-from oakramp.gateway.carry import Carrier
-from oakramp.gateway.placer import Placer
+from oakramp.gateway.forwarding import Carrier
+from oakramp.gateway.load_balancer import Placer
 from oakramp.gateway.plain import Plain
 from oakramp.gateway.turns import Turns
-from oakramp.store.lines import LineClient
+from oakramp.store.conversations import LineClient
 
 
 class GateNode(GateBase):
--- a/packages/gateway/oakramp/gateway/placer.py
+++ b/packages/gateway/oakramp/gateway/load_balancer.py
@@ -18,9 +18,9 @@
     RETRY_AFTER,
     WEIGHT_BOUND,
 )
+from oakramp.common.errors import OakError, Overloaded, Rebound, TimeSpent, Unknown
 from oakramp.common.tasks import Repeater, spawn, within
-from oakramp.common.verdict import OakError, Overloaded, Rebound, TimeSpent, Unknown
-from oakramp.membership.rendezvous import ranked
+from oakramp.membership.rendezvous_hashing import ranked
 
 URGENCY = {"urgent": 0, "normal": 1, "patient": 2}
 DESCRIBED_AGE = 5 * DESCRIBE_PAUSE  # s; a description older than this says nothing about the weight
--- a/packages/gateway/oakramp/gateway/outliers.py
+++ b/packages/gateway/oakramp/gateway/outliers.py
@@ -24,7 +24,7 @@
     OUTLIER_TELL,
     OUTLIER_WINDOW,
 )
-from oakramp.gossip.puller import NODE_SOURCE
+from oakramp.gossip.gossip_client import NODE_SOURCE
 
 FAULTS = "faults"  # the item of a gate's row in the news
 
--- a/packages/gateway/oakramp/gateway/plain.py
+++ b/packages/gateway/oakramp/gateway/plain.py
@@ -4,9 +4,9 @@
 
 from schema import Optional, Or
 
-from oakramp.common.checks import NAME, check_fields, pack_json, seconds
 from oakramp.common.constants import CALL_TIME, CLAIM_ANSWER_LIMIT, CLAIM_LEAVE, TIME_LEFT_LIMIT
-from oakramp.common.verdict import Broken, Conflict, NoAnswer, OakError, Overloaded, TimeSpent, Verdict
+from oakramp.common.errors import Broken, Conflict, NoAnswer, OakError, Overloaded, TimeSpent, Verdict
+from oakramp.common.validation import NAME, check_fields, pack_json, seconds
 from oakramp.gateway.request import Request, chain, print_of
 
 PLAIN = {
--- a/packages/gateway/oakramp/gateway/placement.py
+++ b/packages/gateway/oakramp/gateway/prefix_placement.py
@@ -7,9 +7,9 @@
 import json
 
 from oakramp.common.constants import CALL_TIME, EVICTION_ROUND, PLAN_AGE, PRESSURE_LATE
-from oakramp.common.env import eviction_mode
+from oakramp.common.settings import eviction_mode
 from oakramp.common.tasks import Repeater
-from oakramp.control.placement import PLACEMENT_KEY
+from oakramp.control.prefix_placement import PLACEMENT_KEY
 from oakramp.prefix_cache.counters import TenantCounters, tenant_of
 
 
--- a/packages/gateway/oakramp/gateway/passage.py
+++ b/packages/gateway/oakramp/gateway/proxied_request.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from oakramp.common.verdict import OakError, TimeSpent, Verdict
+from oakramp.common.errors import OakError, TimeSpent, Verdict
 
 
 @dataclass
--- a/packages/gateway/oakramp/gateway/relay.py
+++ b/packages/gateway/oakramp/gateway/proxy.py
@@ -9,14 +9,14 @@
 """
 
 from oakramp.common.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_LEAST
+from oakramp.common.errors import BadRequest, CannotTell, OakError, Unknown, Verdict
 from oakramp.common.tasks import spawn
-from oakramp.common.verdict import BadRequest, CannotTell, OakError, Unknown, Verdict
-from oakramp.gateway.fresh_news import FreshNews
-from oakramp.gateway.passage import Passage, check_caller, may_repeat
-from oakramp.gateway.relay_answers import Answers
-from oakramp.gateway.relay_carrier import Carrier
-from oakramp.gateway.relay_keys import KeyedCalls
-from oakramp.gateway.relay_streams import Streams
+from oakramp.gateway.fresh_state import FreshNews
+from oakramp.gateway.proxied_request import Passage, check_caller, may_repeat
+from oakramp.gateway.proxy_forwarder import Carrier
+from oakramp.gateway.proxy_idempotency import KeyedCalls
+from oakramp.gateway.proxy_responses import Answers
+from oakramp.gateway.proxy_streams import Streams
 
 
 class Relay:
--- a/packages/gateway/oakramp/gateway/relay_carrier.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -18,8 +18,7 @@
     STALLED_SHARE,
     STALLED_TIMES,
 )
-from oakramp.common.tasks import begin, spawn, within
-from oakramp.common.verdict import (
+from oakramp.common.errors import (
     Broken,
     NoAnswer,
     OakError,
@@ -30,8 +29,9 @@
     Unreachable,
     Verdict,
 )
+from oakramp.common.tasks import begin, spawn, within
 from oakramp.gateway.balancer import Wish
-from oakramp.gateway.passage import (
+from oakramp.gateway.proxied_request import (
     CallerGone,
     check_caller,
     may_repeat,
--- a/packages/gateway/oakramp/gateway/relay_keys.py
+++ b/packages/gateway/oakramp/gateway/proxy_idempotency.py
@@ -3,9 +3,9 @@
 import base64
 
 from oakramp.common.constants import CLAIM_ANSWER_LIMIT, CLAIM_LEAVE
+from oakramp.common.errors import BadRequest, CannotTell, InProgress, NoAnswer, OakError, Refused, Verdict
 from oakramp.common.tasks import shielded, within
-from oakramp.common.verdict import BadRequest, CannotTell, InProgress, NoAnswer, OakError, Refused, Verdict
-from oakramp.gateway.passage import print_of, remaining
+from oakramp.gateway.proxied_request import print_of, remaining
 
 
 class KeyedCalls:
--- a/packages/gateway/oakramp/gateway/relay_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -13,17 +13,17 @@
     RETRY_AFTER_LEAST,
     SETTLE_TIME,
 )
+from oakramp.common.errors import CannotTell, Overloaded
+from oakramp.common.http_server import Web
 from oakramp.common.metrics import serve_metrics
 from oakramp.common.tasks import sleep
-from oakramp.common.verdict import CannotTell, Overloaded
-from oakramp.common.web import Web
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.gateway.balancer import Balancer
 from oakramp.gateway.base import GateBase
-from oakramp.gateway.placement import Placement
-from oakramp.gateway.relay import Relay
+from oakramp.gateway.prefix_placement import Placement
+from oakramp.gateway.proxy import Relay
 from oakramp.gateway.routing import Router
-from oakramp.http_proxy.front import Front
+from oakramp.http_proxy.listener import Front
 from oakramp.http_proxy.upstream import Upstreams
 from oakramp.store.turns import TurnClient
 
--- a/packages/gateway/oakramp/gateway/relay_answers.py
+++ b/packages/gateway/oakramp/gateway/proxy_responses.py
@@ -1,9 +1,9 @@
 """Replicas' answers on their way to the callers: gathered whole while they are small, passed on as they come."""
 
 from oakramp.common.constants import ANSWER_HELD
+from oakramp.common.errors import Broken, NoAnswer, Verdict
 from oakramp.common.tasks import within
-from oakramp.common.verdict import Broken, NoAnswer, Verdict
-from oakramp.gateway.passage import CallerGone, remaining_run
+from oakramp.gateway.proxied_request import CallerGone, remaining_run
 
 NOT_MODIFIED = 304
 
--- a/packages/gateway/oakramp/gateway/relay_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -5,8 +5,8 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import FULL_RETRY, PATIENCE_SHARE, TURN_OUTPUT_LIMIT
-from oakramp.common.verdict import Broken, BudgetEmpty, CannotTell, NoAnswer, OakError, Overloaded
-from oakramp.gateway.passage import print_of, remaining
+from oakramp.common.errors import Broken, BudgetEmpty, CannotTell, NoAnswer, OakError, Overloaded
+from oakramp.gateway.proxied_request import print_of, remaining
 from oakramp.gateway.settler import Settler
 from oakramp.store.turns import Record
 
--- a/packages/gateway/oakramp/gateway/request.py
+++ b/packages/gateway/oakramp/gateway/request.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import RUN_SHARE, TIME_LEFT_DEFAULT
-from oakramp.common.verdict import Rebound, TimeSpent
+from oakramp.common.errors import Rebound, TimeSpent
+from oakramp.common.validation import pack_json
 
 
 @dataclass
--- a/packages/gateway/oakramp/gateway/routing.py
+++ b/packages/gateway/oakramp/gateway/routing.py
@@ -10,7 +10,7 @@
 
 from oakramp.common.constants import ROUTING_AGE, ROUTING_STRETCH
 from oakramp.control.routing import ROUTING_KEY, document_of, host_of
-from oakramp.control.slots import unpack_entry
+from oakramp.control.shards import unpack_entry
 
 
 @dataclass(frozen=True)
--- a/packages/gateway/oakramp/gateway/stream.py
+++ b/packages/gateway/oakramp/gateway/stream.py
@@ -6,10 +6,10 @@
 
 import json
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import IDLE_TIME, OUTPUT_LIMIT
+from oakramp.common.errors import Broken
 from oakramp.common.tasks import within
-from oakramp.common.verdict import Broken
+from oakramp.common.validation import pack_json
 
 
 class RunReader:
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -3,7 +3,6 @@
 from schema import And, Optional, Or
 from twisted.internet.defer import ensureDeferred
 
-from oakramp.common.checks import NAME, check_fields, seconds, whole
 from oakramp.common.constants import (
     CALL_TIME,
     FULL_RETRY,
@@ -13,9 +12,7 @@
     TIME_LEFT_LIMIT,
     UNITS_LIMIT,
 )
-from oakramp.common.fetch import BodyLines
-from oakramp.common.tasks import settled, shielded, within
-from oakramp.common.verdict import (
+from oakramp.common.errors import (
     Broken,
     BudgetEmpty,
     Conflict,
@@ -27,7 +24,10 @@
     TimeSpent,
     Verdict,
 )
-from oakramp.gateway.carry import refusal_of
+from oakramp.common.http_client import BodyLines
+from oakramp.common.tasks import settled, shielded, within
+from oakramp.common.validation import NAME, check_fields, seconds, whole
+from oakramp.gateway.forwarding import refusal_of
 from oakramp.gateway.request import Request, chain, print_of, terms_of
 from oakramp.gateway.stream import CallerStream, RunReader
 
--- a/packages/gossip/oakramp/gossip/program.py
+++ b/packages/gossip/oakramp/gossip/daemon.py
@@ -9,11 +9,11 @@
 from twisted.internet.error import CannotListenError
 
 from oakramp.common.constants import ENV_LOOK, STOP_MARGIN, STOP_TIME
-from oakramp.common.env import env_of_daemon
-from oakramp.common.logline import FORMATS, LEVELS, set_level, skip_unused_record_fields, stderr_sink
+from oakramp.common.errors import EnvError, OakError, RingDamaged
+from oakramp.common.settings import env_of_daemon
+from oakramp.common.structured_logging import FORMATS, LEVELS, set_level, skip_unused_record_fields, stderr_sink
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn, within
-from oakramp.common.verdict import EnvError, OakError, RingDamaged
-from oakramp.gossip.damaged import DamagedNode
+from oakramp.gossip.damaged_node import DamagedNode
 from oakramp.storage.disk import FolderDisk
 
 
--- a/packages/gossip/oakramp/gossip/damaged.py
+++ b/packages/gossip/oakramp/gossip/damaged_node.py
@@ -6,8 +6,8 @@
 """
 
 from oakramp.common.constants import ACCEPT_INBOX
-from oakramp.common.logline import LogLine
-from oakramp.common.web import Web
+from oakramp.common.http_server import Web
+from oakramp.common.structured_logging import LogLine
 
 
 class DamagedNode:
--- a/packages/gossip/oakramp/gossip/puller.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 from oakramp.common.constants import CONDITION_AGE, FORGET_AGE, PULL_PAUSE, PULL_TIME
+from oakramp.common.errors import OakError
 from oakramp.common.tasks import Repeater, settled, sleep, spawn
-from oakramp.common.verdict import OakError
-from oakramp.gossip.exchange import Heard, Told
+from oakramp.gossip.version_exchange import Heard, Told
 from oakramp.membership.members import Member
 from oakramp.rpc.codec import idl
 
--- a/packages/gossip/oakramp/gossip/node.py
+++ b/packages/gossip/oakramp/gossip/node.py
@@ -4,13 +4,13 @@
 import time
 
 from oakramp.common.constants import CLOCK_JUMP, CLOCK_LOOK, SEED_AGE, WIRE_VERSION
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import Repeater
-from oakramp.gossip.board import Board
-from oakramp.gossip.puller import Puller
+from oakramp.gossip.gossip_client import Puller
+from oakramp.gossip.state_table import Board
 from oakramp.membership.identity import Identity
 from oakramp.membership.members import Member, Members
-from oakramp.rpc.net import Net
+from oakramp.rpc.endpoint import Net
 
 RELEASE = "0.1.0"
 
--- a/packages/gossip/oakramp/gossip/board.py
+++ b/packages/gossip/oakramp/gossip/state_table.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from oakramp.common.constants import GONE_LIMIT
-from oakramp.gossip.exchange import unpack_ages
+from oakramp.gossip.version_exchange import unpack_ages
 from oakramp.rpc.codec import idl
 
 AGE_LIMIT = 2**31 - 1  # ms, the largest age that fits the wire's field
--- a/packages/http_proxy/oakramp/http_proxy/connection.py
+++ b/packages/http_proxy/oakramp/http_proxy/connection.py
@@ -9,9 +9,9 @@
 from twisted.internet import defer, error, protocol
 
 from oakramp.common.constants import ANSWER_HEAD_LIMIT, KEPT_MARGIN, KEPT_UNTOLD, TRAILER_LIMIT
-from oakramp.common.verdict import Broken, NoAnswer, Unreachable, Verdict
-from oakramp.http_proxy.answer import WHOLE, Answer
+from oakramp.common.errors import Broken, NoAnswer, Unreachable, Verdict
 from oakramp.http_proxy.framing import ChunkedDecoder, Malformed, body_length, parse_fields
+from oakramp.http_proxy.response import WHOLE, Answer
 from oakramp.http_proxy.sockets import has_unsent, send_now, set_options
 
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
--- a/packages/http_proxy/oakramp/http_proxy/front.py
+++ b/packages/http_proxy/oakramp/http_proxy/listener.py
@@ -9,9 +9,9 @@
 from twisted.internet import defer, protocol
 
 from oakramp.common.constants import BODIES_LIMIT, CALLERS_LIMIT, QUIET_TIME
-from oakramp.common.env import split_address
+from oakramp.common.settings import split_address
 from oakramp.common.tasks import sleep
-from oakramp.http_proxy.caller import Caller
+from oakramp.http_proxy.downstream import Caller
 
 
 class _Callers(protocol.Factory):
--- a/packages/http_proxy/oakramp/http_proxy/answer.py
+++ b/packages/http_proxy/oakramp/http_proxy/response.py
@@ -3,7 +3,7 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import PIECES_LIMIT
-from oakramp.common.verdict import Broken, NoAnswer, TooLarge, Verdict
+from oakramp.common.errors import Broken, NoAnswer, TooLarge, Verdict
 from oakramp.http_proxy.headers import WithHeaders
 
 WHOLE = object()  # the outcome of an answer that came to its end
--- a/packages/http_proxy/oakramp/http_proxy/upstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/upstream.py
@@ -10,8 +10,8 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import CONNECT_TIME
-from oakramp.common.env import split_address
-from oakramp.common.verdict import BadRequest, Overloaded, TimeSpent, Unreachable
+from oakramp.common.errors import BadRequest, Overloaded, TimeSpent, Unreachable
+from oakramp.common.settings import split_address
 from oakramp.http_proxy.connection import Dial, ReplicaConnection
 from oakramp.http_proxy.framing import HOP_BY_HOP, TOKEN, Malformed, join_head
 from oakramp.http_proxy.sockets import is_quiet
--- a/packages/membership/oakramp/membership/identity.py
+++ b/packages/membership/oakramp/membership/identity.py
@@ -4,8 +4,8 @@
 
 import json
 
-from oakramp.common.verdict import RingDamaged
-from oakramp.storage.ring import RING_PREFIX
+from oakramp.common.errors import RingDamaged
+from oakramp.storage.circular_log import RING_PREFIX
 
 IDENTITY_FILE = "identity"
 
--- a/packages/membership/oakramp/membership/members.py
+++ b/packages/membership/oakramp/membership/members.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, fields
 
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE, FORGET_AGE
-from oakramp.membership.rendezvous import named
+from oakramp.membership.rendezvous_hashing import named
 
 LIVE, SILENT, LEAVING, PARTED = "live", "silent", "leaving", "parted"
 
--- a/packages/rpc/oakramp/rpc/codec.py
+++ b/packages/rpc/oakramp/rpc/codec.py
@@ -7,7 +7,7 @@
 from thriftpy2.protocol import TBinaryProtocolFactory
 from thriftpy2.utils import deserialize, serialize
 
-from oakramp.common.verdict import BadRequest
+from oakramp.common.errors import BadRequest
 
 idl = thriftpy2.load(os.path.join(os.path.dirname(__file__), "oak.thrift"), module_name="oak_thrift")
 
--- a/packages/rpc/oakramp/rpc/net.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -23,9 +23,7 @@
     WIRE_SPAN,
     WIRE_VERSION,
 )
-from oakramp.common.env import split_address
-from oakramp.common.tasks import begin, drive, spawn
-from oakramp.common.verdict import (
+from oakramp.common.errors import (
     BadRequest,
     Fenced,
     NoAnswer,
@@ -36,6 +34,8 @@
     Unreachable,
     error_from,
 )
+from oakramp.common.settings import split_address
+from oakramp.common.tasks import begin, drive, spawn
 from oakramp.rpc.codec import arguments_class, idl, pack, pack_frame, result_class, unpack, unpack_frame
 
 OPEN_METHODS = frozenset(["pull"])  # what one may ask that is not a member yet
--- a/packages/storage/oakramp/storage/ring.py
+++ b/packages/storage/oakramp/storage/circular_log.py
@@ -27,8 +27,8 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import RING_BATCH, RING_FILE_SIZE, RING_FILES, RING_RESERVE_FILES, RING_VERSION
+from oakramp.common.errors import RingDamaged, RingError, RingFull
 from oakramp.common.tasks import spawn
-from oakramp.common.verdict import RingDamaged, RingError, RingFull
 
 RING_PREFIX = "ring."  # what the names of a ring's files begin with
 LAP_MARK = b"OAKRING\0"
--- a/packages/storage/oakramp/storage/check.py
+++ b/packages/storage/oakramp/storage/disk_check.py
@@ -4,9 +4,9 @@
 import re
 from dataclasses import dataclass, field
 
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import RingError
-from oakramp.storage.ring import LAP_SIZE, Ring, lap_header
+from oakramp.common.errors import RingError
+from oakramp.common.structured_logging import LogLine
+from oakramp.storage.circular_log import LAP_SIZE, Ring, lap_header
 
 RING_FILE = re.compile(r"ring\.(\d{3})")
 DEFAULT_FILE_SIZE = 4096  # bytes; for a folder without any ring file, of which nothing is read
--- a/packages/store/oakramp/store/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -14,11 +14,11 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import COPY_PAGE_TURNS, RECORD_PAGE, STORE_CALL_TIME, SWEEP_KEYS
+from oakramp.common.errors import Fenced, OakError
 from oakramp.common.tasks import settled
-from oakramp.common.verdict import Fenced, OakError
 from oakramp.rpc.codec import idl
+from oakramp.store.record_table import TURN_LINE, bucket_of, from_state, to_state
 from oakramp.store.records import read_header
-from oakramp.store.table import TURN_LINE, bucket_of, from_state, to_state
 
 
 class StoreAddress(NamedTuple):
--- a/packages/store/oakramp/store/lines.py
+++ b/packages/store/oakramp/store/conversations.py
@@ -3,17 +3,17 @@
 
 import json
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
+from oakramp.common.errors import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
 from oakramp.common.tasks import quorum_of, sleep
-from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
-from oakramp.control.storeset import STORES_KEY, StoreSet, majority
+from oakramp.common.validation import pack_json
+from oakramp.control.store_membership import STORES_KEY, StoreSet, majority
 from oakramp.membership.members import LIVE
-from oakramp.membership.rendezvous import ranked
-from oakramp.store.store_calls import StoreCalls
-from oakramp.store.table import from_state
-from oakramp.version_vectors.clock import sync_versions
-from oakramp.version_vectors.context import to_context
+from oakramp.membership.rendezvous_hashing import ranked
+from oakramp.store.record_table import from_state
+from oakramp.store.store_client import StoreCalls
+from oakramp.version_vectors.causal_context import to_context
+from oakramp.version_vectors.version_vector import sync_versions
 
 RETRY_PAUSE = 0.1  # s; between rounds over the stores while one of them changes condition
 
--- a/packages/store/oakramp/store/daemon.py
+++ b/packages/store/oakramp/store/daemon.py
@@ -1,8 +1,8 @@
 """oakramp-store: a store node."""
 
-from oakramp.common.env import DISK_ENV
-from oakramp.gossip.program import run_daemon
-from oakramp.store.store import StoreNode
+from oakramp.common.settings import DISK_ENV
+from oakramp.gossip.daemon import run_daemon
+from oakramp.store.store_node import StoreNode
 
 
 def main():
--- a/packages/store/oakramp/store/table.py
+++ b/packages/store/oakramp/store/record_table.py
@@ -15,7 +15,7 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-from oakramp.common.checks import pack_json
+from oakramp.common.bounded_queue import TableOwner
 from oakramp.common.constants import (
     FULL_SHARE,
     LINE_KEPT,
@@ -26,12 +26,12 @@
     SWEEP_BUCKETS,
     SWEEP_KEYS,
 )
-from oakramp.common.inbox import TableOwner
-from oakramp.membership.rendezvous import slot_of
+from oakramp.common.validation import pack_json
+from oakramp.membership.rendezvous_hashing import slot_of
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.store.records import RECORD_ROW, RecordTable
-from oakramp.version_vectors.clock import Clock, sync_versions, update
-from oakramp.version_vectors.context import clock_to_row
+from oakramp.version_vectors.causal_context import clock_to_row
+from oakramp.version_vectors.version_vector import Clock, sync_versions, update
 
 ROW = "l/"
 SUM_SPAN = 1 << 62
--- a/packages/store/oakramp/store/records.py
+++ b/packages/store/oakramp/store/records.py
@@ -12,7 +12,7 @@
 from sortedcontainers import SortedList
 
 from oakramp.common.constants import RECALL_KEPT, RECORD_KEPT_MOST, RECORDS_DROPPED
-from oakramp.common.verdict import BadRequest
+from oakramp.common.errors import BadRequest
 
 RECORD_ROW = "t/"
 _HEAD = struct.Struct("<BIHHHII")  # layout, ms to keep, lengths of turn id, parent, line key, input, output
--- a/packages/store/oakramp/store/store_calls.py
+++ b/packages/store/oakramp/store/store_client.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from oakramp.common.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
-from oakramp.common.verdict import Fenced, NoAnswer, OakError, Overloaded, Unreachable
+from oakramp.common.errors import Fenced, NoAnswer, OakError, Overloaded, Unreachable
 
 STORE_FAILURES = Unreachable, NoAnswer, Overloaded, Fenced  # said of the store, and not of what was asked
 
--- a/packages/store/oakramp/store/store.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -7,7 +7,6 @@
 
 from twisted.internet import defer
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     ACCEPT_INBOX,
     HINT_LIMIT,
@@ -23,19 +22,20 @@
     STORES_LEAVING_TIME,
     SWEEP_HINTS,
 )
+from oakramp.common.errors import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
+from oakramp.common.http_server import Web
 from oakramp.common.metrics import Metrics, serve_metrics
 from oakramp.common.tasks import Repeater, quorum_of, sleep, spawn
-from oakramp.common.verdict import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
-from oakramp.common.web import Web
-from oakramp.control.storeset import STORES_KEY, StoreSet, majority
+from oakramp.common.validation import pack_json
+from oakramp.control.store_membership import STORES_KEY, StoreSet, majority
 from oakramp.gossip.node import Node
 from oakramp.membership.members import LIVE
 from oakramp.rpc.codec import idl
-from oakramp.storage.ring import Ring
+from oakramp.storage.circular_log import Ring
 from oakramp.store.anti_entropy import AntiEntropy, StoreAddress
+from oakramp.store.record_table import TURN_LINE, LineTable, from_state, to_state
 from oakramp.store.records import read_header
-from oakramp.store.table import TURN_LINE, LineTable, from_state, to_state
-from oakramp.version_vectors.context import from_context, to_context
+from oakramp.version_vectors.causal_context import from_context, to_context
 
 COVERS = "covers"
 EMPTYING = "emptying"  # a file that stands as long as the folder is being cleared
--- a/packages/store/oakramp/store/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -6,7 +6,6 @@
 
 from twisted.internet import defer
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import (
     CONDITION_AGE,
     FULL_KNOWN,
@@ -17,15 +16,16 @@
     RETAIN_MARGIN,
     STORE_CALL_TIME,
 )
+from oakramp.common.errors import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
-from oakramp.control.storeset import STORES_KEY, StoreSet, majority
-from oakramp.membership.rendezvous import ranked
+from oakramp.common.validation import pack_json
+from oakramp.control.store_membership import STORES_KEY, StoreSet, majority
+from oakramp.membership.rendezvous_hashing import ranked
+from oakramp.store.record_table import TURN_LINE, from_state, pack_turns, turns_in
 from oakramp.store.records import pack_record, read_bodies, read_header
-from oakramp.store.store_calls import HeldBack, StoreCalls
-from oakramp.store.table import TURN_LINE, from_state, pack_turns, turns_in
-from oakramp.version_vectors.clock import sync_versions
-from oakramp.version_vectors.context import to_context
+from oakramp.store.store_client import HeldBack, StoreCalls
+from oakramp.version_vectors.causal_context import to_context
+from oakramp.version_vectors.version_vector import sync_versions
 
 RETRY_PAUSE = 0.05  # s; between rounds over the stores while one of them changes condition
 HEDGES = {"recall": RECALL_HEDGE, "retain": RETAIN_HEDGE}
--- a/packages/testbed/oakramp/testbed/caller.py
+++ b/packages/testbed/oakramp/testbed/caller.py
@@ -3,11 +3,11 @@
 import json
 from dataclasses import dataclass, field
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import PIECE_LIMIT
-from oakramp.common.fetch import BodyLines
+from oakramp.common.errors import NoAnswer, OakError, Verdict
+from oakramp.common.http_client import BodyLines
 from oakramp.common.tasks import settled, sleep, within
-from oakramp.common.verdict import NoAnswer, OakError, Verdict
+from oakramp.common.validation import pack_json
 
 ATTEMPTS = 8  # times; a caller asks again for one request at most so often
 ATTEMPT_PAUSE = 0.5  # s; between two of them
--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -16,24 +16,24 @@
 
 from sortedcontainers import SortedDict
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import ALLOWANCE_CLOSED
-from oakramp.common.logline import LogLine
 from oakramp.common.registry import Registry
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import settled, spawn
-from oakramp.control.client import OwnerClient
+from oakramp.common.validation import pack_json
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.owner import Context, View
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.routing import ROUTING_KEY, pieces_of
-from oakramp.control.slots import pack_entry
+from oakramp.control.shard_client import OwnerClient
+from oakramp.control.shard_leader import Context, View
+from oakramp.control.shards import pack_entry
 from oakramp.control.voter import entry_key
-from oakramp.gossip.board import Board
+from oakramp.gossip.state_table import Board
 from oakramp.membership.members import SILENT, Member
 from oakramp.rpc.codec import idl, pack, unpack
-from oakramp.rpc.net import Connection
-from oakramp.storage.ring import Ring
-from oakramp.store.table import LineTable
+from oakramp.rpc.endpoint import Connection
+from oakramp.storage.circular_log import Ring
+from oakramp.store.record_table import LineTable
 from oakramp.testbed.measure import MEASURES, large_blueprint
 from oakramp.testbed.plan import Size, blueprint_of
 from oakramp.testbed.simdisk import SimDisk
--- a/packages/testbed/oakramp/testbed/commands.py
+++ b/packages/testbed/oakramp/testbed/commands.py
@@ -11,11 +11,11 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakramp.common.logline import stderr_sink
+from oakramp.common.errors import OakError
+from oakramp.common.structured_logging import stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
-from oakramp.common.verdict import OakError
-from oakramp.control.client import OwnerClient
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shard_client import OwnerClient
+from oakramp.control.shards import slot_of_key
 from oakramp.gossip.node import Node
 from oakramp.testbed.fleet import Fleet
 from oakramp.testbed.plan import NETWORK, Machine, Size, env_of
--- a/packages/testbed/oakramp/testbed/standin.py
+++ b/packages/testbed/oakramp/testbed/emulators.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from oakramp.common.checks import pack_json
+from oakramp.common.http_server import Web
 from oakramp.common.tasks import sleep
-from oakramp.common.web import Web
+from oakramp.common.validation import pack_json
 
 
 @dataclass
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -9,19 +9,19 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import OakError
 from oakramp.common.metrics import Metrics
 from oakramp.common.registry import Registry
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import OakError
-from oakramp.control.placement import PLACEMENT_KEY
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.common.validation import pack_json
+from oakramp.control.prefix_placement import PLACEMENT_KEY
+from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.gateway.balancer import Balancer, Wish
-from oakramp.gateway.placement import Placement
-from oakramp.gossip.board import Board
-from oakramp.membership.rendezvous import score
+from oakramp.gateway.prefix_placement import Placement
+from oakramp.gossip.state_table import Board
+from oakramp.membership.rendezvous_hashing import score
 from oakramp.prefix_cache.counters import tenant_of
 from oakramp.prefix_cache.decision import Decision
 from oakramp.prefix_cache.detector import Load, Window
--- a/packages/testbed/oakramp/testbed/explore/departures.py
+++ b/packages/testbed/oakramp/testbed/explore/departures.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass, field
 
+from oakramp.testbed.explore.closing_fault import next_ordinary
 from oakramp.testbed.explore.explorer import run, without_collecting
-from oakramp.testbed.explore.finale import next_ordinary
 from oakramp.testbed.explore.schedule import Choice
 from oakramp.testbed.explore.search import Findings
 from oakramp.testbed.explore.strategies import MOVE_ON, NEWS_OF_N0
--- a/packages/testbed/oakramp/testbed/explore/explorer.py
+++ b/packages/testbed/oakramp/testbed/explore/explorer.py
@@ -3,7 +3,7 @@
 import gc
 from dataclasses import dataclass, field
 
-from oakramp.testbed.explore.finale import verdict
+from oakramp.testbed.explore.closing_fault import verdict
 from oakramp.testbed.explore.process import OneSlot
 from oakramp.testbed.explore.schedule import apply
 from oakramp.testbed.explore.world import World
--- a/packages/testbed/oakramp/testbed/explore/history.py
+++ b/packages/testbed/oakramp/testbed/explore/history.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from oakramp.common.verdict import Invalid, Lost, Verdict
+from oakramp.common.errors import Invalid, Lost, Verdict
 
 
 @dataclass
--- a/packages/testbed/oakramp/testbed/explore/invariants.py
+++ b/packages/testbed/oakramp/testbed/explore/invariants.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from oakramp.control.routing import ROUTING_KEY
-from oakramp.control.slots import unpack_entry
+from oakramp.control.shards import unpack_entry
 from oakramp.testbed.explore.process import SLOT
 
 
--- a/packages/testbed/oakramp/testbed/explore/mutations.py
+++ b/packages/testbed/oakramp/testbed/explore/mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into the running program, by which the explorer is shown to find them: the take-outs of `oakramp.testbed.takeout` that
+"""Faults put into the running program, by which the explorer is shown to find them: the take-outs of `oakramp.testbed.mutation_testing` that
 concern the control protocols, and faults planted for what must never happen.
 
 A mutation replaces text of one source file, as a take-out does; here the functions whose code then differs get the new
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from oakramp.testbed.explore.world import Shape
-from oakramp.testbed.takeout import TAKE_OUTS
+from oakramp.testbed.mutation_testing import TAKE_OUTS
 
 
 @dataclass(frozen=True)
@@ -92,8 +92,8 @@
     _take_out("sync before answering"),
 ]
 
-OWNER, VOTER, ROUTING = "oakramp.control.owner", "oakramp.control.voter", "oakramp.control.routing"
-PREPARATION, REPLICATION = "oakramp.control.preparation", "oakramp.control.replication"
+OWNER, VOTER, ROUTING = "oakramp.control.shard_leader", "oakramp.control.voter", "oakramp.control.routing"
+PREPARATION, REPLICATION = "oakramp.control.prepare_phase", "oakramp.control.replication"
 CHECKED_PUT = "    head = _head(view)\n    _check_versions(view, head, arguments)\n    former"  # of a whole document
 PLANTED = [
     Mutation(
@@ -134,7 +134,7 @@
     ),
     Mutation(
         "a member without a disk is counted",
-        "oakramp.control.roster",
+        "oakramp.control.voting_configuration",
         "len(node_ids & member_ids.keys()) > len(member_ids) // 2\n            for",
         "len(node_ids & member_ids.keys()) >= len(member_ids) // 2\n            for",
     ),
@@ -220,14 +220,14 @@
     ),
     Mutation(
         "a roster moves on before the images do",
-        "oakramp.control.roster",
+        "oakramp.control.voting_configuration",
         "if all(self._slot_roster(slot) >= roster.version for slot in range(SLOTS)) and await",
         "if await",
         REPLACING,
     ),
     Mutation(
         "a roster changes without a joint version",
-        "oakramp.control.roster",
+        "oakramp.control.voting_configuration",
         '    record = {"version": record["version"] + 1, "members": record["members"], "next": changed}',
         '    record = {"version": record["version"] + 1, "members": changed, "next": None}',
         REPLACING,
--- a/packages/testbed/oakramp/testbed/explore/network.py
+++ b/packages/testbed/oakramp/testbed/explore/network.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from oakramp.common.tasks import begin
-from oakramp.common.verdict import NoAnswer, OakError, Unreachable
+from oakramp.common.errors import NoAnswer, OakError, Unreachable
 from oakramp.rpc.codec import arguments_class
-from oakramp.rpc.net import Net
+from oakramp.rpc.endpoint import Net
 from twisted.internet import defer
 
 
--- a/packages/testbed/oakramp/testbed/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -9,12 +9,12 @@
 from oakramp.control import slots as slots_module
 from oakramp.control import voter as voter_module
 from oakramp.control.controllers import SLOT_SOURCE
-from oakramp.control.lapse import LapseWatch
-from oakramp.control.owner import Owners, TermRider
-from oakramp.control.roster import RosterWatch
+from oakramp.control.lease_expiry import LapseWatch
+from oakramp.control.shard_leader import Owners, TermRider
+from oakramp.control.voting_configuration import RosterWatch
 from oakramp.control.voter import Voter
-from oakramp.gossip.board import Board
-from oakramp.storage.ring import Ring
+from oakramp.gossip.state_table import Board
+from oakramp.storage.circular_log import Ring
 from oakramp.rpc.codec import idl
 from oakramp.testbed.explore.clock import ModelClock
 from oakramp.testbed.explore.network import ModelNet
--- a/packages/testbed/oakramp/testbed/explore/strategies.py
+++ b/packages/testbed/oakramp/testbed/explore/strategies.py
@@ -2,7 +2,7 @@
 
 import random
 
-from oakramp.testbed.explore.finale import next_ordinary, serving
+from oakramp.testbed.explore.closing_fault import next_ordinary, serving
 from oakramp.testbed.explore.schedule import Choice, may_lose_disk, message_choice
 
 # Weights of what is chosen where the priorities do not say: measured to reach several take-overs in a schedule.
--- a/packages/testbed/oakramp/testbed/explore/world.py
+++ b/packages/testbed/oakramp/testbed/explore/world.py
@@ -4,9 +4,9 @@
 import random
 from dataclasses import dataclass
 
-from oakramp.common.checks import pack_json
-from oakramp.common.verdict import OakError
-from oakramp.control.roster import ROSTER_KEY, Roster
+from oakramp.common.validation import pack_json
+from oakramp.common.errors import OakError
+from oakramp.control.voting_configuration import ROSTER_KEY, Roster
 from oakramp.control.routing import ROUTING_KEY
 from oakramp.rpc.codec import arguments_class
 from oakramp.testbed.explore.disk import ModelDisk
--- a/packages/testbed/oakramp/testbed/failover.py
+++ b/packages/testbed/oakramp/testbed/failover.py
@@ -7,9 +7,9 @@
 
 from twisted.internet.defer import ensureDeferred
 
+from oakramp.common.errors import OakError
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import OakError
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 from oakramp.testbed.plan import blueprint_of
 from oakramp.testbed.simfleet import SimFleet
 
--- a/packages/testbed/oakramp/testbed/faults.py
+++ b/packages/testbed/oakramp/testbed/faults.py
@@ -6,9 +6,9 @@
 
 from collections import Counter
 
+from oakramp.common.errors import RingDamaged
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
-from oakramp.common.verdict import RingDamaged
 from oakramp.testbed.plan import PARTNERS, PLATFORM, blueprint_of
 
 FAULTS = Registry("fault")
--- a/packages/testbed/oakramp/testbed/fleet.py
+++ b/packages/testbed/oakramp/testbed/fleet.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-from oakramp.cli.asking import ask
+from oakramp.cli.control_client import ask
 from oakramp.testbed.plan import PARTNERS, PLATFORM, SIZES, blueprint_of, env_of, machines_of
 
 PROGRAMS = {"control": "oakramp-control", "store": "oakramp-store", "gate": "oakramp-gateway"}
--- a/packages/testbed/oakramp/testbed/main.py
+++ b/packages/testbed/oakramp/testbed/main.py
@@ -13,19 +13,19 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakramp.common.logline import LogLine, stderr_sink
+from oakramp.common.errors import Unknown
+from oakramp.common.structured_logging import LogLine, stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled
-from oakramp.common.verdict import Unknown
 from oakramp.testbed.capacity import SLOPES
 from oakramp.testbed.checker import cut_off
+from oakramp.testbed.emulators import build_standins
 from oakramp.testbed.explore.command import explore
 from oakramp.testbed.fleet import Fleet
 from oakramp.testbed.measure import MEASURES
+from oakramp.testbed.mutation_testing import try_all
 from oakramp.testbed.plan import MARKERS, PLATFORM, SIZES, replica_rows
 from oakramp.testbed.realtrial import RealTrial, rolling_restart
 from oakramp.testbed.scale import Sizes, run_hollow, run_scale
-from oakramp.testbed.standin import build_standins
-from oakramp.testbed.takeout import try_all
 from oakramp.testbed.trial import DAYS, run_day, run_trial
 
 SIZE = click.option(
--- a/packages/testbed/oakramp/testbed/powerloss.py
+++ b/packages/testbed/oakramp/testbed/powerloss.py
@@ -10,9 +10,9 @@
 import random
 import sys
 
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import OakError, RingFull
-from oakramp.storage.ring import Ring
+from oakramp.common.errors import OakError, RingFull
+from oakramp.common.structured_logging import LogLine
+from oakramp.storage.circular_log import Ring
 from oakramp.testbed.simdisk import PowerLost, SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimTime
 
--- a/packages/testbed/oakramp/testbed/realtrial.py
+++ b/packages/testbed/oakramp/testbed/realtrial.py
@@ -5,13 +5,13 @@
 
 from twisted.internet.threads import deferToThread
 
-from oakramp.cli.asking import ask
-from oakramp.common.fetch import WebClient
+from oakramp.cli.control_client import ask
+from oakramp.common.http_client import WebClient
 from oakramp.common.tasks import settled, sleep
 from oakramp.testbed.caller import Caller, Operator, View
 from oakramp.testbed.checker import check
+from oakramp.testbed.emulators import Record
 from oakramp.testbed.plan import PARTNERS, PLAIN_NAMES, PLATFORM, SIZES, blueprint_of
-from oakramp.testbed.standin import Record
 
 
 class RealTrial:
--- a/packages/testbed/oakramp/testbed/scale.py
+++ b/packages/testbed/oakramp/testbed/scale.py
@@ -25,12 +25,12 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from oakramp.cli.asking import ask
+from oakramp.cli.control_client import ask
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
+from oakramp.common.errors import OakError
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
-from oakramp.common.verdict import OakError
-from oakramp.control.client import OwnerClient
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.control.replica_registry import REPLICAS_KEY
+from oakramp.control.shard_client import OwnerClient
 from oakramp.gossip.node import Node
 from oakramp.membership.members import SILENT
 from oakramp.testbed.capacity import replica_rows, wire_meter
--- a/packages/testbed/oakramp/testbed/simfleet.py
+++ b/packages/testbed/oakramp/testbed/simfleet.py
@@ -5,15 +5,16 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import SLOTS
-from oakramp.common.fetch import WebClient
-from oakramp.common.logline import LogLine
+from oakramp.common.http_client import WebClient
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import spawn
-from oakramp.control.control import ControlNode
-from oakramp.control.storeset import StoreSet
-from oakramp.gateway.gate import GateNode
-from oakramp.store.store import StoreNode
+from oakramp.control.control_node import ControlNode
+from oakramp.control.store_membership import StoreSet
+from oakramp.gateway.gateway_node import GateNode
+from oakramp.store.store_node import StoreNode
 from oakramp.testbed.caller import Caller, Operator, View
 from oakramp.testbed.checker import check
+from oakramp.testbed.emulators import Record, StandinPlatform, StandinReplica
 from oakramp.testbed.plan import (
     MARKERS,
     NETS,
@@ -29,7 +30,6 @@
 )
 from oakramp.testbed.simdisk import SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oakramp.testbed.standin import Record, StandinPlatform, StandinReplica
 
 BUILDERS = {"control": ControlNode, "store": StoreNode, "gate": GateNode}
 SMALL = Size(
--- a/packages/testbed/oakramp/testbed/trial.py
+++ b/packages/testbed/oakramp/testbed/trial.py
@@ -7,7 +7,7 @@
 from oakramp.common.constants import SLOTS
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
-from oakramp.control.slots import unpack_entry
+from oakramp.control.shards import unpack_entry
 from oakramp.testbed.checker import check
 from oakramp.testbed.faults import FAULTS, arm, cause
 from oakramp.testbed.plan import PARTNERS, PLAIN_NAMES, blueprint_of
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -7,18 +7,18 @@
 
 from sortedcontainers import SortedDict
 
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
 from oakramp.control import budget  # noqa: F401  it enters its controller
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.owner import Context, SlotOwner, View
-from oakramp.control.slots import pack_entry, slot_of_key
+from oakramp.control.shard_leader import Context, SlotOwner, View
+from oakramp.control.shards import pack_entry, slot_of_key
 from oakramp.control.voter import Voter, entry_key
 from oakramp.rpc.codec import pack
-from oakramp.storage.ring import Ring
-from oakramp.store.table import LineRow, LineTable, to_state
+from oakramp.storage.circular_log import Ring
+from oakramp.store.record_table import LineRow, LineTable, to_state
 from oakramp.testbed.simdisk import SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oakramp.version_vectors.clock import Clock
+from oakramp.version_vectors.version_vector import Clock
 
 ENDPOINT = "127.0.0.1"
 
--- a/packages/version_vectors/oakramp/version_vectors/context.py
+++ b/packages/version_vectors/oakramp/version_vectors/causal_context.py
@@ -3,7 +3,7 @@
 import base64
 import json
 
-from oakramp.version_vectors.clock import Clock
+from oakramp.version_vectors.version_vector import Clock
 
 
 def clock_to_row(clock):
--- a/tests/order_trial.py
+++ b/tests/order_trial.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from unittest.mock import patch
 
-from oakramp.common.checks import pack_json
+from oakramp.common.errors import NoAnswer
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn, within
-from oakramp.common.verdict import NoAnswer
+from oakramp.common.validation import pack_json
 from oakramp.control import routing
-from oakramp.control.control import ControlNode
+from oakramp.control.control_node import ControlNode
 from oakramp.control.routing import ROUTING_KEY, document_from
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 from oakramp.testbed import simfleet
 from oakramp.testbed.linearizability import NEVER_ANSWERED, NOTHING, Answer, Order, Read, Try, check_history
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/relay_checker.py
+++ b/tests/relay_checker.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from oakramp.common.checks import pack_json
 from oakramp.common.registry import Registry
+from oakramp.common.validation import pack_json
 from oakramp.testbed.linearizability import Answer, Order, Read, Try, check_history
 
 RULES = Registry("rule")
--- a/tests/relay_wire.py
+++ b/tests/relay_wire.py
@@ -6,8 +6,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from oakramp.common.logline import LogLine
-from oakramp.http_proxy.front import Front
+from oakramp.common.structured_logging import LogLine
+from oakramp.http_proxy.listener import Front
 
 
 class Limits:
--- a/tests/second_loss.py
+++ b/tests/second_loss.py
@@ -16,13 +16,13 @@
 import traceback
 
 from oakramp.common.constants import REJOIN, SLOTS
+from oakramp.common.errors import CannotTell, InProgress, NoAnswer, OakError
 from oakramp.common.tasks import settled, sleep, spawn
-from oakramp.common.verdict import CannotTell, InProgress, NoAnswer, OakError
-from oakramp.control.client import OwnerClient
-from oakramp.control.roster import ROSTER_KEY
-from oakramp.control.slots import slot_of_key
-from oakramp.control.storeset import STORES_KEY
-from oakramp.storage.ring import Ring
+from oakramp.control.shard_client import OwnerClient
+from oakramp.control.shards import slot_of_key
+from oakramp.control.store_membership import STORES_KEY
+from oakramp.control.voting_configuration import ROSTER_KEY
+from oakramp.storage.circular_log import Ring
 from oakramp.store.records import RECORD_ROW
 from oakramp.testbed.plan import Size
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -10,11 +10,11 @@
 from twisted.internet import defer, task
 
 from oakramp.common.constants import BALANCER_QUEUE, EJECT_AFTER, EJECT_LONGEST, LOAD_AGE, OUTLIER_WINDOW, SHED_PAUSE
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import OakError, Overloaded, TimeSpent, Verdict
-from oakramp.control.places import REPLICAS_KEY
+from oakramp.common.errors import OakError, Overloaded, TimeSpent, Verdict
+from oakramp.common.structured_logging import LogLine
+from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.gateway.balancer import Balancer, Wish
-from oakramp.gossip.board import Board
+from oakramp.gossip.state_table import Board
 
 
 class Bench:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 
 from click.testing import CliRunner
 
-from oakramp.rpc.net import Connection
+from oakramp.rpc.endpoint import Connection
 from oakramp.testbed import capacity, scale
 from oakramp.testbed.capacity import ProcessorMeter, known_slope, line_through, memory_of, replica_rows, wire_meter
 from oakramp.testbed.main import main
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -10,15 +10,15 @@
 from unittest import mock
 
 from oakramp.common.constants import SLOTS
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import OakError, RingFull
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import spawn
-from oakramp.common.verdict import OakError, RingFull
 from oakramp.control import replication
 from oakramp.control.routing import ROUTING_KEY
-from oakramp.control.slots import in_parts, slot_of_key, unpack_entry
+from oakramp.control.shards import in_parts, slot_of_key, unpack_entry
 from oakramp.control.voter import Voter
 from oakramp.rpc.codec import idl
-from oakramp.storage.ring import Ring
+from oakramp.storage.circular_log import Ring
 from oakramp.testbed.simfleet import SimFleet
 from test_images import VoterRig, entries_of, image_of
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -5,7 +5,7 @@
 
 from oakramp.testbed.caller import Asked, Attempt, PlanRead, PlanSent, View
 from oakramp.testbed.checker import RULES, check, cut_off
-from oakramp.testbed.standin import Record, Run
+from oakramp.testbed.emulators import Record, Run
 
 
 def honest():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,11 +6,11 @@
 from twisted.internet.defer import ensureDeferred
 
 from oakramp.common.constants import CALL_TIME, CLAIM_KEPT
+from oakramp.common.errors import InProgress, NoAnswer
 from oakramp.common.tasks import settled, spawn
-from oakramp.common.verdict import InProgress, NoAnswer
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.owner import Context, View
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shard_leader import Context, View
+from oakramp.control.shards import slot_of_key
 from oakramp.testbed.simfleet import SimFleet
 from test_budgets import ClaimRig
 
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -3,7 +3,7 @@
 import unittest
 
 from oakramp.common.constants import SLOTS, TERM
-from oakramp.common.verdict import Fenced
+from oakramp.common.errors import Fenced
 from oakramp.testbed.simfleet import SimFleet
 
 PASSING_TIME = 0.12  # s; the voters of a recorded day set the roster this long after the node that took slots over
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -13,17 +13,17 @@
 import test_operator
 from oakramp.cli.doctor import Survey, examine
 from oakramp.common.constants import OWNER_TRY_TIME, REPLICA_AGE, ROUTING_AGE, ROUTING_STRETCH, TERM, VIEW_AGE
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import CannotTell, Lost, NotOwner
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import CannotTell, Lost, NotOwner
-from oakramp.control.contact import Contact
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.owner import ConfirmationRound, SlotOwner
-from oakramp.control.places import REPLICAS_KEY
-from oakramp.control.roster import ROSTER_KEY, Roster
+from oakramp.control.quorum_contact import Contact
+from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.routing import ROUTING_KEY
-from oakramp.control.slots import slot_of_key
-from oakramp.control.storeset import STORES_KEY
+from oakramp.control.shard_leader import ConfirmationRound, SlotOwner
+from oakramp.control.shards import slot_of_key
+from oakramp.control.store_membership import STORES_KEY
+from oakramp.control.voting_configuration import ROSTER_KEY, Roster
 from oakramp.gateway.routing import Router
 from oakramp.testbed.plan import PARTNERS, blueprint_of
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -6,10 +6,10 @@
 import unittest
 from unittest import mock
 
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
+from oakramp.storage.circular_log import Ring
 from oakramp.storage.disk import FolderDisk
-from oakramp.storage.ring import Ring
-from oakramp.store.store import EMPTYING, _clear
+from oakramp.store.store_node import EMPTYING, _clear
 from oakramp.testbed.simdisk import PowerLost
 from oakramp.testbed.simfolder import SimFolder
 
--- a/tests/test_disk_check.py
+++ b/tests/test_disk_check.py
@@ -10,9 +10,9 @@
 from click.testing import CliRunner
 
 from oakramp.cli.main import main
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
+from oakramp.storage.circular_log import LAP_SIZE, Ring, _pack_record
 from oakramp.storage.disk import FolderDisk
-from oakramp.storage.ring import LAP_SIZE, Ring, _pack_record
 
 SIZE = 1 << 14  # bytes of a file of the ring
 IDENTITY = {"nodeId": "m.1", "clusterId": "c", "addresses": [], "founding": None}
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -4,7 +4,7 @@
 import unittest
 
 from oakramp.cli.doctor import CHECKS, examine, take_survey, worst_code
-from oakramp.common.verdict import OakError
+from oakramp.common.errors import OakError
 from oakramp.testbed.simfleet import SimFleet
 
 
--- a/tests/test_dvv.py
+++ b/tests/test_dvv.py
@@ -4,8 +4,8 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakramp.version_vectors.clock import Clock, ceiling, ids, leq, less, sync, update
-from oakramp.version_vectors.context import from_context, to_context
+from oakramp.version_vectors.causal_context import from_context, to_context
+from oakramp.version_vectors.version_vector import Clock, ceiling, ids, leq, less, sync, update
 
 
 def events(clock):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from oakramp.common.constants import FORGET_AGE
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import NoAnswer
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import begin
-from oakramp.common.verdict import NoAnswer
-from oakramp.gossip.board import Board
-from oakramp.gossip.exchange import Heard, Told, pack_ages, unpack_ages
-from oakramp.gossip.puller import Puller
+from oakramp.gossip.gossip_client import Puller
+from oakramp.gossip.state_table import Board
+from oakramp.gossip.version_exchange import Heard, Told, pack_ages, unpack_ages
 from oakramp.membership.members import Member, Members
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -16,11 +16,11 @@
     TAKEOVER_LOOK,
     TERM,
 )
+from oakramp.common.errors import CannotTell, NoAnswer
 from oakramp.common.tasks import settled
-from oakramp.common.verdict import CannotTell, NoAnswer
-from oakramp.control.moves import OwnerMoves
-from oakramp.control.preparation import Preparation
-from oakramp.control.slots import slot_of_key
+from oakramp.control.leader_changes import OwnerMoves
+from oakramp.control.prepare_phase import Preparation
+from oakramp.control.shards import slot_of_key
 from oakramp.testbed.failover import PLAN_KEY, false_takeovers, run_failover, run_planned_stop
 from oakramp.testbed.simfleet import SimFleet
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,7 +4,7 @@
 
 from oakramp.common.constants import TERM
 from oakramp.common.tasks import settled, sleep, spawn
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 from oakramp.testbed.caller import Asked
 from oakramp.testbed.faults import replace, send_plan
 from oakramp.testbed.plan import PARTNERS, PLATFORM, Size, blueprint_of
@@ -791,7 +791,7 @@
                     "POST", self.gate("gate0"), f"/v1/dalatech/programs/{program}/lines/l1/turns", body, 10
                 )
             )
-            from oakramp.common.fetch import BodyLines
+            from oakramp.common.http_client import BodyLines
 
             lines = BodyLines(1000)
             response.deliverBody(lines)
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -5,10 +5,10 @@
 import unittest
 
 from oakramp.common.constants import ROSTER_MOST, SLOTS, TERM, VIEW_AGE
-from oakramp.common.verdict import CannotTell, Unreachable
-from oakramp.control.founding import first_cluster_id, founder_id, founding_of
-from oakramp.control.roster import ROSTER_KEY, Roster, mended
-from oakramp.control.slots import slot_of_key
+from oakramp.common.errors import CannotTell, Unreachable
+from oakramp.control.bootstrap import first_cluster_id, founder_id, founding_of
+from oakramp.control.shards import slot_of_key
+from oakramp.control.voting_configuration import ROSTER_KEY, Roster, mended
 from oakramp.rpc.codec import idl
 from oakramp.testbed.faults import send_plan
 from oakramp.testbed.plan import env_of
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -6,7 +6,7 @@
 
 from oakramp.common.constants import FRAME_LIMIT
 from oakramp.rpc.codec import idl, pack, pack_frame, unpack, unpack_frame, unpack_usual
-from oakramp.rpc.net import LENGTH, Connection
+from oakramp.rpc.endpoint import LENGTH, Connection
 
 
 class Kernel:
--- a/tests/test_gates_catching_up.py
+++ b/tests/test_gates_catching_up.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings, strategies as st
 
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, GONE_LIMIT
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
 from oakramp.control.routing import ROUTING_KEY, document_from, pieces_of
-from oakramp.control.slots import pack_entry, slot_of_key
+from oakramp.control.shards import pack_entry, slot_of_key
 from oakramp.gateway.routing import Router
-from oakramp.gossip.board import Board
+from oakramp.gossip.state_table import Board
 from oakramp_platform.dialect import Dialect
 from oakramp_platform.routes import routing_of
 from relay_fleet import RelayFleet, route
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -4,13 +4,13 @@
 import unittest
 from unittest import mock
 
-from oakramp.common.checks import pack_json
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
+from oakramp.common.validation import pack_json
 from oakramp.control import replication as replication_module, voter as voter_module
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 from oakramp.control.voter import Voter
 from oakramp.rpc.codec import idl
-from oakramp.storage.ring import Ring
+from oakramp.storage.circular_log import Ring
 from oakramp.testbed.simdisk import SimDisk
 from oakramp.testbed.simfleet import SMALL, SimFleet
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
--- a/tests/test_news_takeover.py
+++ b/tests/test_news_takeover.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from oakramp.gossip.board import Board
+from oakramp.gossip.state_table import Board
 
 SOURCE = "s"
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -7,15 +7,15 @@
 from twisted.internet import defer, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import OPERATOR_LIMIT
+from oakramp.common.errors import BadRequest, CannotTell, Conflict, Invalid, NoAnswer, Unknown
 from oakramp.common.tasks import settled, sleep, spawn, within
-from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Invalid, NoAnswer, Unknown
+from oakramp.common.validation import pack_json
 from oakramp.control import operator as operator_module
-from oakramp.control.control import ControlNode
-from oakramp.control.operator import fingerprint_of, read_document
+from oakramp.control.control_node import ControlNode
+from oakramp.control.operator_api import fingerprint_of, read_document
 from oakramp.control.routing import ROUTING_KEY, document_from
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 from oakramp.gateway.routing import Router
 from oakramp.testbed import simfleet
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -5,11 +5,11 @@
 
 from order_trial import OrderTrial
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import FORGET_AGE
 from oakramp.common.tasks import settled, sleep, spawn
+from oakramp.common.validation import pack_json
 from oakramp.control import routing
-from oakramp.control.storeset import STORES_KEY
+from oakramp.control.store_membership import STORES_KEY
 from test_operator import OperatorTest, document
 from test_store_forming import Rig
 
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -8,9 +8,9 @@
 from twisted.internet import task
 
 from oakramp.common.constants import LATE_LEAST, LATE_TIMES, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
 from oakramp.gateway.outliers import FAULTS, Outliers
-from oakramp.gossip.board import Board
+from oakramp.gossip.state_table import Board
 
 
 class Fleet:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,15 +13,15 @@
 from twisted.internet import defer, protocol
 
 from oakramp.common import constants
-from oakramp.common.env import COMMON_ENV, CONTROL_ENV, check_env
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import ERROR_CLASSES, EnvError, OakError, Unreachable, Verdict, error_from
+from oakramp.common.settings import COMMON_ENV, CONTROL_ENV, check_env
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import monotonic_reactor
-from oakramp.common.verdict import ERROR_CLASSES, EnvError, OakError, Unreachable, Verdict, error_from
-from oakramp.control.blueprint import blueprint_faults
-from oakramp.gossip.board import Board
+from oakramp.control.plan import blueprint_faults
+from oakramp.gossip.state_table import Board
 from oakramp.membership.members import Member
 from oakramp.rpc.codec import idl, pack, unpack
-from oakramp.rpc.net import Net
+from oakramp.rpc.endpoint import Net
 from oakramp.testbed.plan import SIZES, blueprint_of, env_of, machines_of
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,9 +12,9 @@
 import urllib.request
 from unittest import mock
 
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
+from oakramp.storage.circular_log import Ring
 from oakramp.storage.disk import FolderDisk
-from oakramp.storage.ring import Ring
 from oakramp.testbed.simfleet import SimFleet
 
 START = "from oakramp.{0}.daemon import main; main()"
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -5,10 +5,10 @@
 import unittest
 
 from oakramp.common.constants import LINE_TURNS, RETAIN_MARGIN
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import BadRequest, CannotTell, Conflict, Gone, NoAnswer
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import settled
-from oakramp.common.verdict import BadRequest, CannotTell, Conflict, Gone, NoAnswer
-from oakramp.storage.ring import Ring
+from oakramp.storage.circular_log import Ring
 from oakramp.store.records import RecordTable, pack_record, read_bodies, read_header
 from oakramp.store.turns import Record, TurnClient, line_key_of
 from oakramp.testbed.plan import Size
--- a/tests/test_relay_front.py
+++ b/tests/test_relay_front.py
@@ -9,10 +9,10 @@
 from twisted.web.http import _ChunkedTransferDecoder, _MalformedChunkedDataError
 
 from oakramp.common.constants import EAGER_LIMIT, LINGER_TIME, QUIET_TIME
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import sleep
 from oakramp.http_proxy.framing import ChunkedDecoder, Malformed
-from oakramp.http_proxy.front import Front
+from oakramp.http_proxy.listener import Front
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
--- a/tests/test_relay_upstream.py
+++ b/tests/test_relay_upstream.py
@@ -16,9 +16,9 @@
 from twisted.web.http_headers import Headers
 
 from oakramp.common.constants import ANSWER_HEAD_LIMIT, CONNECT_TIME, KEPT_MARGIN, KEPT_UNTOLD, PIECES_LIMIT
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import BadRequest, Broken, NoAnswer, Overloaded, TimeSpent, TooLarge, Unreachable, Verdict
-from oakramp.http_proxy.front import Front
+from oakramp.common.errors import BadRequest, Broken, NoAnswer, Overloaded, TimeSpent, TooLarge, Unreachable, Verdict
+from oakramp.common.structured_logging import LogLine
+from oakramp.http_proxy.listener import Front
 from oakramp.http_proxy.upstream import Upstreams
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -6,12 +6,12 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import STEP_PAUSE
+from oakramp.common.errors import Fenced, NoAnswer
 from oakramp.common.tasks import spawn
-from oakramp.common.verdict import Fenced, NoAnswer
-from oakramp.control.client import OwnerClient
 from oakramp.control.replication import Offer, StepBatcher
-from oakramp.control.roster import Roster
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shard_client import OwnerClient
+from oakramp.control.shards import slot_of_key
+from oakramp.control.voting_configuration import Roster
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.testbed.simfleet import SimFleet
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import RingDamaged, RingError, RingFull
-from oakramp.storage.ring import LAP_SIZE, LOST_HEAD_READ, RECORD, Cold, Ring, _mark_of, _pack_lap, _pack_record
+from oakramp.common.errors import RingDamaged, RingError, RingFull
+from oakramp.common.structured_logging import LogLine
+from oakramp.storage.circular_log import LAP_SIZE, LOST_HEAD_READ, RECORD, Cold, Ring, _mark_of, _pack_lap, _pack_record
 from oakramp.testbed.powerloss import PowerLosses
 from oakramp.testbed.simdisk import SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimTime
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -3,7 +3,7 @@
 import unittest
 
 from oakramp.common.tasks import sleep, spawn
-from oakramp.control.slots import slot_of_key
+from oakramp.control.shards import slot_of_key
 from oakramp.testbed.faults import send_plan
 from oakramp.testbed.simfleet import SimFleet
 from oakramp.testbed.trial import total_outage
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,12 +7,11 @@
 
 from hypothesis import given, settings, strategies as st
 
-from oakramp.common.checks import pack_json
 from oakramp.common.constants import CHANGES_REMEMBERED
-from oakramp.common.logline import LogLine
-from oakramp.common.verdict import CannotTell, Invalid, Lost, Verdict
+from oakramp.common.errors import CannotTell, Invalid, Lost, Verdict
+from oakramp.common.structured_logging import LogLine
+from oakramp.common.validation import pack_json
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.owner import View
 from oakramp.control.routing import (
     ROUTING_KEY,
     apply_patch,
@@ -23,8 +22,9 @@
     pieces_of,
     table_faults,
 )
+from oakramp.control.shard_leader import View
 from oakramp.gateway.routing import Route, Router
-from oakramp.gossip.board import Board
+from oakramp.gossip.state_table import Board
 from test_budgets import Rig
 
 DOCUMENT = {
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -5,8 +5,8 @@
 from second_loss import SERVED, ControlLab, StoreLab, play
 
 from oakramp.common.constants import IMAGE_PART, REJOIN, SLOTS, STORES_LEAVING_TIME
-from oakramp.common.verdict import CannotTell, Gone, OakError
-from oakramp.control.storeset import STORES_KEY
+from oakramp.common.errors import CannotTell, Gone, OakError
+from oakramp.control.store_membership import STORES_KEY
 from oakramp.rpc.codec import idl
 from oakramp.testbed.plan import Size
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -7,10 +7,10 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
-from oakramp.common.logline import LogLine
+from oakramp.common.errors import CannotTell, Fenced, NoAnswer, RingFull, Unreachable
 from oakramp.common.metrics import Metrics
-from oakramp.common.verdict import CannotTell, Fenced, NoAnswer, RingFull, Unreachable
-from oakramp.store.store_calls import HeldBack, StoreCalls
+from oakramp.common.structured_logging import LogLine
+from oakramp.store.store_client import HeldBack, StoreCalls
 from oakramp.store.turns import Record, TurnClient
 from oakramp.testbed.plan import Size
 from oakramp.testbed.simfleet import SimFleet
--- a/tests/test_store_forming.py
+++ b/tests/test_store_forming.py
@@ -6,16 +6,16 @@
 from twisted.internet.defer import ensureDeferred
 
 from oakramp.common.constants import VIEW_AGE
+from oakramp.common.errors import CannotTell, Conflict, Gone, NoAnswer, OakError, Unknown
 from oakramp.common.tasks import sleep, spawn
-from oakramp.common.verdict import CannotTell, Conflict, Gone, NoAnswer, OakError, Unknown
-from oakramp.control.slots import slot_of_key
-from oakramp.control.storeset import STORES_KEY, StoreSet
+from oakramp.control.shards import slot_of_key
+from oakramp.control.store_membership import STORES_KEY, StoreSet
+from oakramp.store.record_table import to_state
 from oakramp.store.records import pack_record
-from oakramp.store.table import to_state
 from oakramp.store.turns import Record, TurnClient
 from oakramp.testbed.plan import Size
 from oakramp.testbed.simfleet import SimFleet
-from oakramp.version_vectors.clock import Clock
+from oakramp.version_vectors.version_vector import Clock
 
 KEPT = 60  # s; for which turns are retained
 SYNC = 4.0  # s; after its return a store is a full member again within this
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -7,16 +7,16 @@
 from hypothesis import given, settings, strategies as st
 
 from oakramp.common.constants import VIEW_AGE
-from oakramp.common.logline import LogLine
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import spawn
-from oakramp.control.slots import slot_of_key
-from oakramp.storage.ring import Ring
-from oakramp.store.table import LineTable, store_of
+from oakramp.control.shards import slot_of_key
+from oakramp.storage.circular_log import Ring
+from oakramp.store.record_table import LineTable, store_of
 from oakramp.testbed.simdisk import SimDisk
 from oakramp.testbed.simfleet import SimFleet
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 from oakramp.testbed.work import owner_work, store_work
-from oakramp.version_vectors.clock import Clock, leq
+from oakramp.version_vectors.version_vector import Clock, leq
 
 
 class TableRig:
--- a/tests/test_takeout.py
+++ b/tests/test_takeout.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import oakramp.testbed
-from oakramp.testbed.takeout import TAKE_OUTS
+from oakramp.testbed.mutation_testing import TAKE_OUTS
 
 PACKAGES = Path(oakramp.testbed.__file__).parents[3]
 TESTS = Path(__file__).parent
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,10 +4,10 @@
 
 from twisted.internet import defer
 
-from oakramp.common.inbox import TableOwner
-from oakramp.common.logline import LogLine
+from oakramp.common.bounded_queue import TableOwner
+from oakramp.common.errors import Overloaded
+from oakramp.common.structured_logging import LogLine
 from oakramp.common.tasks import begin, drive, spawn
-from oakramp.common.verdict import Overloaded
 
 
 class Tasks(unittest.TestCase):
