--- a/packages/gossip/oakramp/gossip/state_table.py
+++ b/packages/gossip/oakramp/gossip/state_table.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Image:
+class SourceState:
     """Invariants: every item's version <= `version`; an item with value None was removed at its version;
     at monotonic time `confirmedAt` the source still stood at `version`; all changes and removals after
     version `base` are in `items`, so a delta can be given from `base` on and from nowhere earlier."""
@@ -28,11 +28,11 @@
     moved_at: int = 0  # the board's count of moves when this one last moved
 
 
-ABSENT = Image()  # stands for an image that is not here: it has no age that could be given
-SETTLED = Image(confirmed_at=float("inf"))  # stands for one that no age from elsewhere confirms
+ABSENT = SourceState()  # stands for an image that is not here: it has no age that could be given
+SETTLED = SourceState(confirmed_at=float("inf"))  # stands for one that no age from elsewhere confirms
 
 
-class Board:
+class StateTable:
     """Invariants: `moves` rises whenever an image moves, and every image's `movedAt` is unlike the others'; `losses` rises
     whenever an image may have become older than what a neighbour was told of; `revision` rises whenever an image comes,
     moves or goes, or this node begins or ends to speak for it."""
@@ -58,7 +58,7 @@
 
     def _entered(self, source):
         if source not in self.images:
-            self.images[source] = Image()
+            self.images[source] = SourceState()
             self.revision += 1
         return self.images[source]
 
--- a/packages/gossip/oakramp/gossip/version_exchange.py
+++ b/packages/gossip/oakramp/gossip/version_exchange.py
@@ -13,7 +13,7 @@
 AGE_UNKNOWN = 0xFFFF  # ms; an age from here on is not given, and the puller goes on counting from the last one
 
 
-class Vector(list):
+class VersionVector(list):
     """What a puller told, in the order in which it told it. Invariant: `_images` are the board's images of it as long as
     neither the vector nor the board's revision has changed since."""
 
@@ -39,12 +39,12 @@
         return self._images
 
 
-class Told:
+class SentVector:
     """The puller's side, for one address. Invariant: `seen` is what the other has under `basis`, once it has answered."""
 
     def __init__(self, board, basis):
         self._board, self.basis = board, basis
-        self.seen = Vector()
+        self.seen = VersionVector()
         self._moves, self._losses = -1, board.losses
         self.own_version = None
 
@@ -61,7 +61,7 @@
         return moved
 
 
-class Heard:
+class ReceivedVector:
     """The other side, for one puller. Invariants: `versions` holds the puller's vector in the order in which it was told;
     `_images` are the board's images of just these versions as long as neither they nor the board's revision have changed."""
 
--- a/packages/http_proxy/oakramp/http_proxy/downstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/downstream.py
@@ -10,7 +10,7 @@
     BARE_LINE_FEED,
     TOKEN,
     ChunkedDecoder,
-    Malformed,
+    MalformedMessageError,
     body_length,
     parse_fields,
     status_line,
@@ -22,7 +22,7 @@
 _EMPTY_LINES = re.compile(rb"(?:\r\n)+")
 
 
-class Caller(protocol.Protocol):
+class DownstreamConnection(protocol.Protocol):
     """One caller's connection. Invariants: `exchange` is the request being answered, `_reading` the one whose body
     is being read; never both. Once `_closing`, nothing more is read as a request.
 
@@ -146,7 +146,7 @@
             while self._buffer and self.exchange is None and self._reading is None and not self._closing:
                 if not self._read_head():
                     break
-        except Malformed as fault:
+        except MalformedMessageError as fault:
             self.front.log.event("requestMalformed", reason=str(fault))
             self._refuse(400)
         finally:
@@ -167,7 +167,7 @@
         end = buffer.find(b"\r\n\r\n", max(0, self._scanned - 3))
         if end < 0 or end + 4 > limit:
             if BARE_LINE_FEED.search(buffer, max(0, self._scanned - 1), limit):
-                raise Malformed("a line that ends without a carriage return")
+                raise MalformedMessageError("a line that ends without a carriage return")
             self._scanned = len(buffer)
             if end >= 0 or len(buffer) >= limit:
                 self._refuse(431)
@@ -181,13 +181,13 @@
     def _take_head(self, head):
         line = _REQUEST_LINE.match(head)
         if line is None:
-            raise Malformed("the request line")
+            raise MalformedMessageError("the request line")
         fields, own = parse_fields(head[line.end() :])
         length = body_length(own)
         hosts = [value for name, value in fields if name.lower() == b"host"]
         host = _HOST.fullmatch(hosts[0]) if len(hosts) == 1 else None
         if host is None:
-            raise Malformed("not exactly one proper Host")
+            raise MalformedMessageError("not exactly one proper Host")
         exchange = Exchange(self, line[1].decode("ascii"), line[2], host[1].decode("latin-1").lower(), fields)
         self._last = b"close" in own.get(b"connection", ())
         if length is not None and length > self._limits.body_bytes:
@@ -219,7 +219,7 @@
         else:
             try:
                 pieces = self._decoder.feed(data)
-            except Malformed as fault:
+            except MalformedMessageError as fault:
                 self.front.log.event("requestMalformed", reason=str(fault))
                 self._refuse(400)
                 return
--- a/packages/http_proxy/oakramp/http_proxy/framing.py
+++ b/packages/http_proxy/oakramp/http_proxy/framing.py
@@ -36,7 +36,7 @@
 _STATUS_LINES = {}
 
 
-class Malformed(ValueError):
+class MalformedMessageError(ValueError):
     """Bytes that are no HTTP/1.1, or that could be read in two ways."""
 
 
@@ -52,7 +52,7 @@
     """(end-to-end fields as they came, the values of the others by lower-case name) of lines that each end in CR LF."""
     found = _FIELD.findall(block)
     if len(found) != block.count(b"\n"):
-        raise Malformed("a header line is malformed")
+        raise MalformedMessageError("a header line is malformed")
     fields, own = [], {}
     for name, value in found:
         lowered = name.lower()
@@ -74,14 +74,14 @@
     lengths, codings = own.get(b"content-length"), own.get(b"transfer-encoding")
     if codings is not None:
         if lengths is not None:
-            raise Malformed("both a length and a transfer coding")
+            raise MalformedMessageError("both a length and a transfer coding")
         if len(codings) != 1 or codings[0].lower() != b"chunked":
-            raise Malformed("a transfer coding other than chunked")
+            raise MalformedMessageError("a transfer coding other than chunked")
         return None
     if lengths is None:
         return -1
     if len(lengths) != 1 or not lengths[0].isdigit() or len(lengths[0]) > 15:
-        raise Malformed("a length that is not one number")
+        raise MalformedMessageError("a length that is not one number")
     return int(lengths[0])
 
 
@@ -90,7 +90,7 @@
     head = b"%b%b%b\r\n" % (first_line, b"".join([b"%b: %b\r\n" % field for field in fields]), last)
     lines = len(fields) + last.count(b"\n") + 2
     if head.count(b"\n") != lines or head.count(b"\r") != lines:
-        raise Malformed("a line break inside a header")
+        raise MalformedMessageError("a line break inside a header")
     return head
 
 
@@ -114,7 +114,7 @@
                 match = _CHUNK.match(data, at, at + CHUNK_LINE_LIMIT)
                 if match is None:
                     if size - at >= CHUNK_LINE_LIMIT or data.find(b"\n", at) >= 0:
-                        raise Malformed("a chunk's size line is malformed")
+                        raise MalformedMessageError("a chunk's size line is malformed")
                     break
                 at, self._left = match.end(), int(match[1], 16)
                 state = self.DATA if self._left else self.TRAILER
@@ -131,14 +131,14 @@
             elif state == self.DATA_END:
                 if not data.startswith(b"\r\n", at):
                     if size - at >= 2 or (size > at and not data.startswith(b"\r", at)):
-                        raise Malformed("a chunk is longer than its size")
+                        raise MalformedMessageError("a chunk is longer than its size")
                     break
                 at += 2
                 state = self.SIZE
             else:
                 end = data.find(b"\r\n", at)
                 if self._trailers + (size if end < 0 else end) - at > self._trailer_limit:
-                    raise Malformed("trailers are too long")
+                    raise MalformedMessageError("trailers are too long")
                 if end < 0:
                     break
                 self._trailers += end + 2 - at
--- a/packages/http_proxy/oakramp/http_proxy/listener.py
+++ b/packages/http_proxy/oakramp/http_proxy/listener.py
@@ -11,20 +11,20 @@
 from oakramp.common.constants import BODIES_LIMIT, CALLERS_LIMIT, QUIET_TIME
 from oakramp.common.settings import split_address
 from oakramp.common.tasks import sleep
-from oakramp.http_proxy.downstream import Caller
+from oakramp.http_proxy.downstream import DownstreamConnection
 
 
-class _Callers(protocol.Factory):
+class _ConnectionFactory(protocol.Factory):
     noisy = False
 
     def __init__(self, front):
         self._front = front
 
     def buildProtocol(self, _address):
-        return Caller(self._front)
+        return DownstreamConnection(self._front)
 
 
-class Front:
+class Listener:
     """The listening side of a gate. Invariants: `callers` holds every open connection, those idle longest before the
     others that are idle; `body_bytes` counts the bodies being read and those of requests under way.
 
@@ -58,7 +58,7 @@
 
     def listen(self):
         host, port = split_address(self.address)
-        self._port = self.reactor.listenTCP(port, _Callers(self), backlog=1024, interface=host)
+        self._port = self.reactor.listenTCP(port, _ConnectionFactory(self), backlog=1024, interface=host)
 
     def admit(self, caller):
         """Above the limit of connections the one that has been idle longest makes room, or the new one goes."""
--- a/packages/http_proxy/oakramp/http_proxy/response.py
+++ b/packages/http_proxy/oakramp/http_proxy/response.py
@@ -3,13 +3,13 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import PIECES_LIMIT
-from oakramp.common.errors import Broken, NoAnswer, TooLarge, Verdict
+from oakramp.common.errors import IncompleteResponseError, OutcomeUnknownError, TooLargeError, Verdict
 from oakramp.http_proxy.headers import WithHeaders
 
 WHOLE = object()  # the outcome of an answer that came to its end
 
 
-class Answer(WithHeaders):
+class Response(WithHeaders):
     """The head of an answer, and its body as it comes. Whoever got it reads it to its end or aborts it.
 
     Invariants: pieces come in order, all that arrived before the end is given out before the end is told; `_outcome`
@@ -64,7 +64,7 @@
                 if timer.active():
                     timer.cancel()
             if not self._pieces and self._outcome is None and self._connection.now() >= ends_at:
-                raise NoAnswer("the answer stopped coming")
+                raise OutcomeUnknownError("the answer stopped coming")
         if self._pieces:
             pieces, self._pieces, self._size = self._pieces, [], 0
             if self._paused and self._connection is not None:
@@ -82,7 +82,7 @@
             size += len(piece)
             if size > limit:
                 self.abort()
-                raise TooLarge(f"the answer is over {limit} bytes", Verdict.MAYBE)
+                raise TooLargeError(f"the answer is over {limit} bytes", Verdict.MAYBE)
             parts.append(piece)
         return b"".join(parts)
 
@@ -90,7 +90,7 @@
         """Closes the connection unless the answer has ended, so that the replica drops the request."""
         if self._outcome is None:
             connection = self._connection
-            self.end(Broken("the answer was given up", Verdict.MAYBE))
+            self.end(IncompleteResponseError("the answer was given up", Verdict.MAYBE))
             connection.drop()
 
     def put(self, pieces):
--- a/packages/http_proxy/oakramp/http_proxy/upstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/upstream.py
@@ -10,10 +10,10 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import CONNECT_TIME
-from oakramp.common.errors import BadRequest, Overloaded, TimeSpent, Unreachable
+from oakramp.common.errors import BadRequestError, DeadlineExceededError, OverloadedError, UnreachableError
 from oakramp.common.settings import split_address
 from oakramp.http_proxy.connection import Dial, ReplicaConnection
-from oakramp.http_proxy.framing import HOP_BY_HOP, TOKEN, Malformed, join_head
+from oakramp.http_proxy.framing import HOP_BY_HOP, TOKEN, MalformedMessageError, join_head
 from oakramp.http_proxy.sockets import is_quiet
 
 _METHOD = re.compile(TOKEN)
@@ -53,7 +53,7 @@
                 connection = await self._connect(address, instance_id, ends_at, max_connections)
             try:
                 if ends_at <= self.reactor.seconds():
-                    raise TimeSpent("no time left for the request")
+                    raise DeadlineExceededError("no time left for the request")
                 if not is_reused:
                     data = _request_bytes(address, method, target, headers(), body)  # connecting has taken time
                 if last_check is not None:
@@ -63,7 +63,7 @@
                 raise
             try:
                 waiting = connection.ask(method, data, expect)
-            except Unreachable:
+            except UnreachableError:
                 if is_reused:
                     continue
                 raise
@@ -110,13 +110,13 @@
     async def _connect(self, address, instance_id, ends_at, max_connections):
         time_left = ends_at - self.reactor.seconds()
         if time_left <= 0:
-            raise TimeSpent("no time left to connect")
+            raise DeadlineExceededError("no time left to connect")
         if (
             max_connections is not None
             and self.open_count(address) >= max_connections
             and not self._close_other(address)
         ):
-            raise Overloaded(f"{address} has as many connections from here as it may have")
+            raise OverloadedError(f"{address} has as many connections from here as it may have")
         host, port = split_address(address)
         connection = ReplicaConnection(self, address, instance_id)
 
@@ -137,7 +137,7 @@
             raise
         except Exception as fault:
             self.forget(connection)
-            raise Unreachable(f"{address} cannot be reached: {fault!r}") from fault
+            raise UnreachableError(f"{address} cannot be reached: {fault!r}") from fault
 
     def _close_other(self, address):
         """Makes room by closing an idle connection to the same address."""
@@ -177,9 +177,9 @@
         fields.append((b"Host", address.encode("ascii")))
     verb = method.encode("latin-1", "replace")
     if not _METHOD.fullmatch(verb) or not _TARGET.fullmatch(target):
-        raise BadRequest("a method or target that cannot be sent")
+        raise BadRequestError("a method or target that cannot be sent")
     length = b"Content-Length: %d\r\n" % len(body) if body or method in ("POST", "PUT", "PATCH") else b""
     try:
         return join_head(b"%b %b HTTP/1.1\r\n" % (verb, target), fields, length) + body
-    except Malformed as fault:
-        raise BadRequest(str(fault)) from fault
+    except MalformedMessageError as fault:
+        raise BadRequestError(str(fault)) from fault
--- a/packages/membership/oakramp/membership/identity.py
+++ b/packages/membership/oakramp/membership/identity.py
@@ -4,7 +4,7 @@
 
 import json
 
-from oakramp.common.errors import RingDamaged
+from oakramp.common.errors import StorageCorruptedError
 from oakramp.storage.circular_log import RING_PREFIX
 
 IDENTITY_FILE = "identity"
@@ -46,7 +46,7 @@
     def _refuse_orphaned_ring(self):
         """The identity is on the disk before a ring is made, so a ring without one is another node's, whose name is lost."""
         if self._disk is not None and any(name.startswith(RING_PREFIX) for name in self._disk.names()):
-            raise RingDamaged("the identity is missing, though a ring is there")
+            raise StorageCorruptedError("the identity is missing, though a ring is there")
 
     def _keep(self):
         if self._disk is not None:
--- a/packages/rpc/oakramp/rpc/codec.py
+++ b/packages/rpc/oakramp/rpc/codec.py
@@ -7,7 +7,7 @@
 from thriftpy2.protocol import TBinaryProtocolFactory
 from thriftpy2.utils import deserialize, serialize
 
-from oakramp.common.errors import BadRequest
+from oakramp.common.errors import BadRequestError
 
 idl = thriftpy2.load(os.path.join(os.path.dirname(__file__), "oak.thrift"), module_name="oak_thrift")
 
@@ -22,7 +22,7 @@
     try:
         return deserialize(struct_class(), data, _FACTORY)
     except Exception as error:  # the codec raises whatever the bytes provoke
-        raise BadRequest(f"not a {struct_class.__name__}: {error!r}") from error
+        raise BadRequestError(f"not a {struct_class.__name__}: {error!r}") from error
 
 
 _ARGUMENTS = {method: getattr(idl.Node, f"{method}_args") for method in idl.Node.thrift_services}
--- a/packages/storage/oakramp/storage/disk_check.py
+++ b/packages/storage/oakramp/storage/disk_check.py
@@ -4,9 +4,9 @@
 import re
 from dataclasses import dataclass, field
 
-from oakramp.common.errors import RingError
-from oakramp.common.structured_logging import LogLine
-from oakramp.storage.circular_log import LAP_SIZE, Ring, lap_header
+from oakramp.common.errors import StorageError
+from oakramp.common.structured_logging import EventLogger
+from oakramp.storage.circular_log import LAP_SIZE, CircularLog, lap_header
 
 RING_FILE = re.compile(r"ring\.(\d{3})")
 DEFAULT_FILE_SIZE = 4096  # bytes; for a folder without any ring file, of which nothing is read
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class RingReport:
+class LogReport:
     """What a start would find. `damage` is why it would be refused, or None; `notes` are what it would say and do."""
 
     file_size: int = 0
@@ -71,12 +71,12 @@
     if not numbers:
         return None
     file_size = os.path.getsize(os.path.join(folder, f"ring.{numbers[0]:03d}"))
-    disk, report = ReadOnlyDisk(folder, file_size), RingReport(file_size)
+    disk, report = ReadOnlyDisk(folder, file_size), LogReport(file_size)
     report.laps = _laps(disk, numbers)
-    notes = LogLine(report.notes.append)
+    notes = EventLogger(report.notes.append)
     try:
-        ring = Ring(disk, notes, file_size or DEFAULT_FILE_SIZE, numbers[-1] + 1, hot_bytes=0)
-    except RingError as error:
+        ring = CircularLog(disk, notes, file_size or DEFAULT_FILE_SIZE, numbers[-1] + 1, hot_bytes=0)
+    except StorageError as error:
         report.damage = error.reason
         return report
     report.entries, report.live_bytes = len(ring.table), ring.live_bytes()
--- a/packages/store/oakramp/store/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -14,7 +14,7 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import COPY_PAGE_TURNS, RECORD_PAGE, STORE_CALL_TIME, SWEEP_KEYS
-from oakramp.common.errors import Fenced, OakError
+from oakramp.common.errors import OakrampError, StaleEpochError
 from oakramp.common.tasks import settled
 from oakramp.rpc.codec import idl
 from oakramp.store.record_table import TURN_LINE, bucket_of, from_state, to_state
@@ -47,7 +47,7 @@
 
     def _check_epoch(self, epoch):
         if epoch != self._stores().epoch:
-            raise Fenced(f"store epoch {epoch} is not {self._stores().epoch}")
+            raise StaleEpochError(f"store epoch {epoch} is not {self._stores().epoch}")
 
     # --- what others ask ---
 
@@ -147,7 +147,7 @@
                 break
             try:
                 await self.pull_chains(store, [missing])
-            except OakError as error:
+            except OakrampError as error:
                 self._node.log.event("chainNotBrought", member=store.node_id, reason=error.reason)
         if self._records.chain(turn_id)[1] is not None:
             return False
--- a/packages/store/oakramp/store/conversations.py
+++ b/packages/store/oakramp/store/conversations.py
@@ -4,21 +4,29 @@
 import json
 
 from oakramp.common.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
-from oakramp.common.errors import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, Verdict
+from oakramp.common.errors import (
+    ConflictError,
+    OakrampError,
+    OutcomeUnknownError,
+    QuorumUnavailableError,
+    StaleEpochError,
+    TurnExpiredError,
+    Verdict,
+)
 from oakramp.common.tasks import quorum_of, sleep
 from oakramp.common.validation import pack_json
-from oakramp.control.store_membership import STORES_KEY, StoreSet, majority
+from oakramp.control.store_membership import STORES_KEY, StoreMembership, majority
 from oakramp.membership.members import LIVE
 from oakramp.membership.rendezvous_hashing import ranked
 from oakramp.store.record_table import from_state
-from oakramp.store.store_client import StoreCalls
+from oakramp.store.store_client import StoreClient
 from oakramp.version_vectors.causal_context import to_context
 from oakramp.version_vectors.version_vector import sync_versions
 
 RETRY_PAUSE = 0.1  # s; between rounds over the stores while one of them changes condition
 
 
-class Line:
+class Conversation:
     """What a quorum said. Invariant: `turns` is the union over all siblings that `context` stands for. `isFull` if
     so many of the stores have no room that a longer line may not be kept."""
 
@@ -34,22 +42,22 @@
         path = []
         while turn_id is not None:
             if turn_id not in self.turns:
-                raise Gone(f"turn {turn_id} is not kept")
+                raise TurnExpiredError(f"turn {turn_id} is not kept")
             path.append(self.turns[turn_id])
             turn_id = self.turns[turn_id]["parent"]
         return path[::-1]
 
 
-class LineClient:
+class ConversationClient:
     def __init__(self, node):
         self._node = node
-        self.calls = StoreCalls(node)
+        self.calls = StoreClient(node)
         node.board.watch(STORES_KEY, lambda _source: self.calls.forget())
 
     def _stores(self):
-        stores = StoreSet.from_board(self._node.board)
+        stores = StoreMembership.from_board(self._node.board)
         if not stores.epoch:
-            raise CannotTell("the store set is not known here yet", retry_after=1)
+            raise QuorumUnavailableError("the store set is not known here yet", retry_after=1)
         return stores
 
     async def get(self, key, time_left):
@@ -68,17 +76,17 @@
                 versions = {}
                 for state in states.values():
                     versions = sync_versions(versions, from_state(state))
-                return Line(versions, sum(bool(state.full) for state in states.values()) > len(states) // 2)
+                return Conversation(versions, sum(bool(state.full) for state in states.values()) > len(states) // 2)
             if self._node.reactor.seconds() + RETRY_PAUSE >= ends_at:
-                raise CannotTell("too few stores answered to say what is kept", retry_after=1)
+                raise QuorumUnavailableError("too few stores answered to say what is kept", retry_after=1)
             await sleep(self._node.reactor, RETRY_PAUSE)
 
     async def _get_from(self, node_id, peer, key, epoch):
         state = await self.calls.call(node_id, peer, "lineGet", STORE_CALL_TIME, key=key)
         if state.store_epoch != epoch:
-            raise Fenced(f"store epoch {state.store_epoch} is not {epoch}")
+            raise StaleEpochError(f"store epoch {state.store_epoch} is not {epoch}")
         if not state.covers:
-            raise CannotTell("this store may not speak yet")
+            raise QuorumUnavailableError("this store may not speak yet")
         return state
 
     async def keep(self, key, line, turn_id, turn, time_left):
@@ -86,9 +94,9 @@
         disk. A try whose outcome is not known is made again elsewhere: at worst that leaves two siblings
         with the same turn, which the next write supersedes."""
         if turn_id in line.turns and line.turns[turn_id] != turn:
-            raise Conflict(f"turn {turn_id} is on this line already")
+            raise ConflictError(f"turn {turn_id} is on this line already")
         if len(line.turns) >= LINE_TURNS:
-            raise Conflict(f"a line holds at most {LINE_TURNS} turns")
+            raise ConflictError(f"a line holds at most {LINE_TURNS} turns")
         value = pack_json({"turns": line.turns | {turn_id: turn}})
         reactor = self._node.reactor
         ends_at = reactor.seconds() + time_left
@@ -113,7 +121,9 @@
                         value=value,
                         store_epoch=stores.epoch,
                     )
-                except OakError as error:
+                except OakrampError as error:
                     unsure = unsure or error.verdict is not Verdict.NO
             await sleep(reactor, RETRY_PAUSE)
-        raise NoAnswer("no quorum of stores said that it keeps the turn", Verdict.MAYBE if unsure else Verdict.NO)
+        raise OutcomeUnknownError(
+            "no quorum of stores said that it keeps the turn", Verdict.MAYBE if unsure else Verdict.NO
+        )
--- a/packages/store/oakramp/store/daemon.py
+++ b/packages/store/oakramp/store/daemon.py
@@ -1,9 +1,11 @@
 """oakramp-store: a store node."""
 
-from oakramp.common.settings import DISK_ENV
+from oakramp.common.settings import DISK_SETTINGS
 from oakramp.gossip.daemon import run_daemon
 from oakramp.store.store_node import StoreNode
 
 
 def main():
-    run_daemon("oakramp-store", DISK_ENV, "A store node of oakramp: keeps the history of program lines.", StoreNode)
+    run_daemon(
+        "oakramp-store", DISK_SETTINGS, "A store node of oakramp: keeps the history of program lines.", StoreNode
+    )
--- a/packages/store/oakramp/store/record_table.py
+++ b/packages/store/oakramp/store/record_table.py
@@ -15,7 +15,7 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-from oakramp.common.bounded_queue import TableOwner
+from oakramp.common.bounded_queue import SerialExecutor
 from oakramp.common.constants import (
     FULL_SHARE,
     LINE_KEPT,
@@ -31,7 +31,7 @@
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.store.records import RECORD_ROW, RecordTable
 from oakramp.version_vectors.causal_context import clock_to_row
-from oakramp.version_vectors.version_vector import Clock, sync_versions, update
+from oakramp.version_vectors.version_vector import VersionVector, sync_versions, update
 
 ROW = "l/"
 SUM_SPAN = 1 << 62
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class LineRow:
+class ConversationRow:
     """Invariants: `versions` (clock -> value) is on the disk, holds no clock below another, and its clocks
     together form a downset; `clockId` has numbered events of this row and of no other, ever."""
 
@@ -71,7 +71,7 @@
 
 def from_state(state):
     return {
-        Clock(
+        VersionVector(
             {part.node_id: (part.ceiling, part.dot) if part.dot else part.ceiling for part in version.clock}
         ): version.value
         for version in state.versions or []
@@ -101,7 +101,7 @@
     return [store_of(clock.dot()[0]) for clock in versions]
 
 
-class LineTable:
+class ConversationTable:
     """`pruned` holds ids of retired stores that number no version any more; their entries are dropped from every
     clock that comes in, and from every row.
 
@@ -124,12 +124,12 @@
         self._buckets = [SortedDict() for _ in range(SWEEP_BUCKETS)]
         self._sums, self._stale = [0] * SWEEP_BUCKETS, set()
         self._births = int(ring.table.get(BIRTHS, b"0"))
-        self._owners = [TableOwner(STORE_INBOX, f"lines{index}", node.log) for index in range(STORE_OWNERS)]
+        self._owners = [SerialExecutor(STORE_INBOX, f"lines{index}", node.log) for index in range(STORE_OWNERS)]
         for name, data in ring.table.items(ROW):
             clock_id, _, state = data.partition(b"\0")
             self._enter(
                 name[len(ROW) :],
-                LineRow(clock_id.decode(), from_state(unpack(idl.LineState, state)), self._reactor.seconds()),
+                ConversationRow(clock_id.decode(), from_state(unpack(idl.LineState, state)), self._reactor.seconds()),
             )
             self._index(name[len(ROW) :], self.rows[name[len(ROW) :]].versions)
 
@@ -170,7 +170,7 @@
     def _strip(self, clock):
         if not any(store_of(clock_id) in self.pruned for clock_id in clock.entries):
             return clock
-        return Clock(
+        return VersionVector(
             {
                 clock_id: m if n is None else (m, n)
                 for clock_id, (m, n) in clock.entries.items()
@@ -279,7 +279,7 @@
             return self.rows[key], []
         self._births += 1
         # The count is on the disk in the same commit that first uses the id.
-        return LineRow(f"{self._node_id}#{self._births}", {}, 0.0), [(BIRTHS, b"%d" % self._births)]
+        return ConversationRow(f"{self._node_id}#{self._births}", {}, 0.0), [(BIRTHS, b"%d" % self._births)]
 
     async def _keep(self, key, row, versions, extra, age, records=()):
         data = row.clock_id.encode() + b"\0" + pack(to_state(versions))
--- a/packages/store/oakramp/store/records.py
+++ b/packages/store/oakramp/store/records.py
@@ -12,7 +12,7 @@
 from sortedcontainers import SortedList
 
 from oakramp.common.constants import RECALL_KEPT, RECORD_KEPT_MOST, RECORDS_DROPPED
-from oakramp.common.errors import BadRequest
+from oakramp.common.errors import BadRequestError
 
 RECORD_ROW = "t/"
 _HEAD = struct.Struct("<BIHHHII")  # layout, ms to keep, lengths of turn id, parent, line key, input, output
@@ -42,7 +42,7 @@
         key_at = parent_at + parent_length
         body_at = key_at + key_length
         if layout != _LAYOUT or (length or len(packed)) != body_at + input_length + output_length or not id_length:
-            raise BadRequest("not a record of a turn")
+            raise BadRequestError("not a record of a turn")
         return Header(
             packed[names_at:parent_at].decode(),
             packed[parent_at:key_at].decode() or None,
@@ -53,7 +53,7 @@
             body_at,
         )
     except (struct.error, UnicodeDecodeError) as error:
-        raise BadRequest(f"not a record of a turn: {error}") from error
+        raise BadRequestError(f"not a record of a turn: {error}") from error
 
 
 def read_bodies(packed, header):
--- a/packages/store/oakramp/store/store_client.py
+++ b/packages/store/oakramp/store/store_client.py
@@ -8,12 +8,17 @@
 from dataclasses import dataclass
 
 from oakramp.common.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
-from oakramp.common.errors import Fenced, NoAnswer, OakError, Overloaded, Unreachable
+from oakramp.common.errors import OakrampError, OutcomeUnknownError, OverloadedError, StaleEpochError, UnreachableError
 
-STORE_FAILURES = Unreachable, NoAnswer, Overloaded, Fenced  # said of the store, and not of what was asked
+STORE_FAILURES = (
+    UnreachableError,
+    OutcomeUnknownError,
+    OverloadedError,
+    StaleEpochError,
+)  # said of the store, and not of what was asked
 
 
-class HeldBack(Unreachable):
+class CallHeldBackError(UnreachableError):
     """Nothing was sent: this store failed a moment ago."""
 
     code = "heldBack"
@@ -29,7 +34,7 @@
     held_back: int = 0
 
 
-class StoreCalls:
+class StoreClient:
     """Invariant: a store is in `_failing` from a call that failed until the next one that succeeds. While it is, one call goes
     through after each pause, and the pause doubles up to STORE_HOLD_MOST as long as these fail. One log line tells when it
     begins, and one when it ends."""
@@ -57,13 +62,13 @@
     async def call(self, node_id, peer, method, time_left, **arguments):
         """The store's answer. HeldBack, a no, if the store failed just now."""
         if self.is_held(node_id):
-            raise HeldBack(f"{node_id} failed just now")
+            raise CallHeldBackError(f"{node_id} failed just now")
         began = self._reactor.seconds()
         if node_id in self._failing:  # this call goes through, and no other until it is over or late
             self._failing[node_id].until = began + self._drawn(self._failing[node_id].pause)
         try:
             answer = await self._node.net.call(peer, method, time_left, to=node_id, **arguments)
-        except OakError as error:
+        except OakrampError as error:
             self._failed(node_id, error, began, time_left)
             raise
         self.counts["answered"] += 1
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -22,18 +22,25 @@
     STORES_LEAVING_TIME,
     SWEEP_HINTS,
 )
-from oakramp.common.errors import BadRequest, CannotTell, Fenced, NoAnswer, OakError, TooLarge
-from oakramp.common.http_server import Web
+from oakramp.common.errors import (
+    BadRequestError,
+    OakrampError,
+    OutcomeUnknownError,
+    QuorumUnavailableError,
+    StaleEpochError,
+    TooLargeError,
+)
+from oakramp.common.http_server import HttpServer
 from oakramp.common.metrics import Metrics, serve_metrics
 from oakramp.common.tasks import Repeater, quorum_of, sleep, spawn
 from oakramp.common.validation import pack_json
-from oakramp.control.store_membership import STORES_KEY, StoreSet, majority
+from oakramp.control.store_membership import STORES_KEY, StoreMembership, majority
 from oakramp.gossip.node import Node
 from oakramp.membership.members import LIVE
 from oakramp.rpc.codec import idl
-from oakramp.storage.circular_log import Ring
+from oakramp.storage.circular_log import CircularLog
 from oakramp.store.anti_entropy import AntiEntropy, StoreAddress
-from oakramp.store.record_table import TURN_LINE, LineTable, from_state, to_state
+from oakramp.store.record_table import TURN_LINE, ConversationTable, from_state, to_state
 from oakramp.store.records import read_header
 from oakramp.version_vectors.causal_context import from_context, to_context
 
@@ -49,11 +56,11 @@
 
     def __init__(self, node, ring):
         self._node, self._ring, self._log = node, ring, node.log
-        self.table = LineTable(node, ring)
+        self.table = ConversationTable(node, ring)
         self._covers_since = int(ring.table.get(COVERS, b"0"))
         self._hints = {}
         self._pass_epoch, self._covered_from = 0, set()
-        self.stores = StoreSet.from_board(node.board)
+        self.stores = StoreMembership.from_board(node.board)
         node.board.watch(STORES_KEY, self._stores_moved)
         self.metrics = Metrics()
         self._anti_entropy = AntiEntropy(node, self.table, self.metrics, lambda: self.stores)
@@ -79,7 +86,7 @@
         self.table.stop()
 
     def _stores_moved(self, _source):
-        self.stores = StoreSet.from_board(self._node.board)
+        self.stores = StoreMembership.from_board(self._node.board)
         # Nobody is handed anything any more who has left the set; come back, it copies.
         self._hints = {node_id: hints for node_id, hints in self._hints.items() if node_id in self.stores.everyone}
         self.table.prune(self.stores.pruned)
@@ -142,7 +149,7 @@
 
     def _check_epoch(self, epoch):
         if epoch != self.stores.epoch:
-            raise Fenced(
+            raise StaleEpochError(
                 f"store epoch {epoch} is not {self.stores.epoch}",
                 detail={"storeEpoch": self.stores.epoch, "set": self.stores.record},
             )
@@ -151,20 +158,20 @@
         """The set as it stands here, which is the sender's too."""
         self._check_epoch(arguments.state.store_epoch)
         if arguments.sender not in self.stores.everyone:
-            raise Fenced(f"{arguments.sender} is not in the store set")
+            raise StaleEpochError(f"{arguments.sender} is not in the store set")
         return self.stores
 
     async def _put(self, _peer, arguments):
         stores = self.stores
         self._check_epoch(arguments.store_epoch)
         if not self.is_member:
-            raise Fenced("this store is not in the set")
+            raise StaleEpochError("this store is not in the set")
         if len(arguments.value) > LINE_SIZE:
-            raise TooLarge(f"a line of {len(arguments.value)} bytes is over {LINE_SIZE}")
+            raise TooLargeError(f"a line of {len(arguments.value)} bytes is over {LINE_SIZE}")
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
-            raise BadRequest(f"no context: {error}") from error
+            raise BadRequestError(f"no context: {error}") from error
         versions, clock = await self.table.put(arguments.key, context_set, arguments.value)
         self._check_still(stores)
         self.metrics.count("line_puts")
@@ -182,7 +189,7 @@
             lambda node_ids: stores.is_written(node_ids | {self._node.node_id}),
         )
         if not reached:
-            raise NoAnswer(
+            raise OutcomeUnknownError(
                 "the line did not reach a quorum of stores, it may still be kept: "
                 + "; ".join(sorted(map(str, errors.values())))
             )
@@ -192,7 +199,7 @@
         """What was on its way to the disk while the set moved on is no vote of the former epoch: a newcomer may have
         copied from here just before."""
         if self.stores.epoch != stores.epoch:
-            raise NoAnswer(f"the set moved on to epoch {self.stores.epoch}; what is here may still be kept")
+            raise OutcomeUnknownError(f"the set moved on to epoch {self.stores.epoch}; what is here may still be kept")
 
     async def _give(self, node_id, peer, key, state):
         await self._give_noted(node_id, peer, "lineKeep", key, state)
@@ -243,13 +250,13 @@
         stores = self.stores
         self._check_epoch(arguments.store_epoch)
         if not self.is_member:
-            raise Fenced("this store is not in the set")
+            raise StaleEpochError("this store is not in the set")
         if len(arguments.value) > LINE_SIZE:
-            raise TooLarge(f"the turns of a line take {len(arguments.value)} bytes, over {LINE_SIZE}")
+            raise TooLargeError(f"the turns of a line take {len(arguments.value)} bytes, over {LINE_SIZE}")
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
-            raise BadRequest(f"no context: {error}") from error
+            raise BadRequestError(f"no context: {error}") from error
         header = read_header(arguments.record)
         await self._bring_chain(header.parent, self._other_stores())
         versions, clock = await self.table.put(
@@ -269,7 +276,7 @@
 
     async def _bring_chain(self, turn_id, stores):
         if not await self._anti_entropy.bring_chain(turn_id, stores):
-            raise CannotTell(f"the chain of turn {turn_id} is not here", retry_after=1)
+            raise QuorumUnavailableError(f"the chain of turn {turn_id} is not here", retry_after=1)
 
     async def _give_turn(self, node_id, peer, key, state, records, lefts):
         left_ms = [int(left * 1000) for left in lefts]
@@ -337,7 +344,7 @@
                 await self._hand_over(node_id, peer)
                 await self._anti_entropy.compare(StoreAddress(node_id, peer))
                 self._covered_from.add(node_id)
-            except OakError as error:
+            except OakrampError as error:
                 self._log.event("sweepFailed", member=node_id, reason=error.reason)
         # Every write quorum of the old set has a member among so many of them.
         needed = len(self.stores.members) - majority(self.stores.members) + 1
@@ -402,7 +409,7 @@
         reactor, env, disk, random, sink, wall = self._parts
         self.node = Node(reactor, "store", env, random, sink, disk, wall)
         shares = {"file_count": env["ringFiles"], "commit_share": RING_COMMIT_SHARE} if env.get("ringFiles") else {}
-        self.ring = Ring(
+        self.ring = CircularLog(
             disk,
             self.node.log,
             env.get("ringFileSize"),
@@ -412,7 +419,7 @@
         )
         self.store = Store(self.node, self.ring)
         self.node.board.watch(STORES_KEY, lambda _source: self._may_start_over())
-        self.web = Web(reactor, env["http"], self.node.log, ACCEPT_INBOX)
+        self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_INBOX)
         self.web.route("GET", "/condition", self._condition)
         serve_metrics(self.web, self.store.metrics)
         for name, ask in (
--- a/packages/store/oakramp/store/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -16,14 +16,23 @@
     RETAIN_MARGIN,
     STORE_CALL_TIME,
 )
-from oakramp.common.errors import CannotTell, Conflict, Fenced, Gone, NoAnswer, OakError, RingFull, Verdict
+from oakramp.common.errors import (
+    ConflictError,
+    OakrampError,
+    OutcomeUnknownError,
+    QuorumUnavailableError,
+    StaleEpochError,
+    StorageFullError,
+    TurnExpiredError,
+    Verdict,
+)
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.validation import pack_json
-from oakramp.control.store_membership import STORES_KEY, StoreSet, majority
+from oakramp.control.store_membership import STORES_KEY, StoreMembership, majority
 from oakramp.membership.rendezvous_hashing import ranked
 from oakramp.store.record_table import TURN_LINE, from_state, pack_turns, turns_in
 from oakramp.store.records import pack_record, read_bodies, read_header
-from oakramp.store.store_client import HeldBack, StoreCalls
+from oakramp.store.store_client import CallHeldBackError, StoreClient
 from oakramp.version_vectors.causal_context import to_context
 from oakramp.version_vectors.version_vector import sync_versions
 
@@ -46,7 +55,7 @@
         return f"Record({self.turn_id!r}, {self.parent!r}, {self.session!r}, {len(self.input)} B, {len(self.output)} B)"
 
 
-class Recalled:
+class ConversationHistory:
     """What was read of a turn. Invariants: `chain` is whole, the oldest first; `turns` (id -> parent) is the union
     over all siblings that `context` stands for, of the line `line_key`."""
 
@@ -104,18 +113,18 @@
     def __init__(self, node):
         self._node, self._reactor = node, node.reactor
         self._slow, self._full, self._usual = {}, {}, {}
-        self.calls = StoreCalls(node)
-        self._stores = StoreSet.from_board(node.board)
+        self.calls = StoreClient(node)
+        self._stores = StoreMembership.from_board(node.board)
         node.board.watch(STORES_KEY, self._stores_moved)
 
     def _stores_moved(self, _source):
-        self._stores = StoreSet.from_board(self._node.board)
+        self._stores = StoreMembership.from_board(self._node.board)
         self.calls.forget()
 
     async def _known_stores(self, ends_at):
         while not self._stores.epoch:
             if self._reactor.seconds() + RETRY_PAUSE >= ends_at:
-                raise CannotTell("the store set is not known here yet", retry_after=1)
+                raise QuorumUnavailableError("the store set is not known here yet", retry_after=1)
             await sleep(self._reactor, RETRY_PAUSE)
         return self._stores
 
@@ -157,9 +166,11 @@
             if missing is None:
                 return self._recalled(read, chain)
             if self._is_gone(read, stores):
-                raise Gone(f"turn {turn_id} is not kept")
+                raise TurnExpiredError(f"turn {turn_id} is not kept")
             if self._reactor.seconds() + RETRY_PAUSE >= ends_at:
-                raise CannotTell(f"too few stores answered to say what is kept of turn {turn_id}", retry_after=1)
+                raise QuorumUnavailableError(
+                    f"too few stores answered to say what is kept of turn {turn_id}", retry_after=1
+                )
             await sleep(self._reactor, RETRY_PAUSE)
 
     def _recalled(self, read, chain):
@@ -167,7 +178,7 @@
         for state in read.states.values():
             if state.line_key == line_key:
                 versions = sync_versions(versions, from_state(state.line))
-        return Recalled([_unpack(packed) for packed in reversed(chain)], line_key, versions)
+        return ConversationHistory([_unpack(packed) for packed in reversed(chain)], line_key, versions)
 
     def _is_gone(self, read, stores):
         sure = [
@@ -218,9 +229,9 @@
                 self._slow.pop(node_id, None)
                 took = self._reactor.seconds() - waiting[node_id]
                 self._usual[kind] = took + 0.9 * (self._usual.get(kind, took) - took)
-            except HeldBack:
+            except CallHeldBackError:
                 pass
-            except OakError as error:
+            except OakrampError as error:
                 self._slow[node_id] = self._reactor.seconds() + STORE_CALL_TIME
                 self._adopt(error)
             del waiting[node_id]
@@ -250,7 +261,9 @@
 
     def _adopt(self, error):
         """A store that stands in a later version of the set tells it along with its no."""
-        record = error.detail.get("set") if isinstance(error, Fenced) and isinstance(error.detail, dict) else None
+        record = (
+            error.detail.get("set") if isinstance(error, StaleEpochError) and isinstance(error.detail, dict) else None
+        )
         if record is not None and record["version"] > self._stores.epoch:
             self._node.board.set_items(STORES_KEY, record["version"], {"set": pack_json(record)})
 
@@ -265,7 +278,7 @@
                     state = await self.calls.call(
                         node_id, stores.everyone[node_id]["peer"], "turnRecall", time_left, turn_id=missing, bodies=True
                     )
-                except OakError:
+                except OakrampError:
                     break
                 if not state.records:
                     break
@@ -280,7 +293,7 @@
         is_same = recalled is not None and recalled.line_key == key
         turns = recalled.turns if is_same else {}
         if len(turns) >= LINE_TURNS:
-            raise Conflict(f"a line holds at most {LINE_TURNS} turns")
+            raise ConflictError(f"a line holds at most {LINE_TURNS} turns")
         value = pack_turns(turns | {record.turn_id: record.parent})
         packed = pack_record(record.turn_id, record.parent, key, keep_s + RETAIN_MARGIN, record.input, record.output)
         context = recalled.context if is_same else ""
@@ -305,9 +318,9 @@
                             record=packed,
                         )
                     )
-                except OakError as error:
+                except OakrampError as error:
                     errors.append(error)
-                    if isinstance(error, RingFull):
+                    if isinstance(error, StorageFullError):
                         self._full[node_id] = self._reactor.seconds()
                     raise
 
@@ -318,4 +331,6 @@
                 break  # no store will have room before the caller's time is over
             await sleep(self._reactor, RETRY_PAUSE)
         is_no = asked == len([error for error in errors if error.verdict is Verdict.NO])
-        raise NoAnswer("no quorum of stores said that it keeps the turn", Verdict.NO if is_no else Verdict.MAYBE)
+        raise OutcomeUnknownError(
+            "no quorum of stores said that it keeps the turn", Verdict.NO if is_no else Verdict.MAYBE
+        )
--- a/packages/testbed/oakramp/testbed/caller.py
+++ b/packages/testbed/oakramp/testbed/caller.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from oakramp.common.constants import PIECE_LIMIT
-from oakramp.common.errors import NoAnswer, OakError, Verdict
+from oakramp.common.errors import OakrampError, OutcomeUnknownError, Verdict
 from oakramp.common.http_client import BodyLines
 from oakramp.common.tasks import settled, sleep, within
 from oakramp.common.validation import pack_json
@@ -121,7 +121,7 @@
                 )
                 if status == 201:
                     return True
-            except OakError:
+            except OakrampError:
                 pass
             await sleep(self._reactor, ATTEMPT_PAUSE)
         return False
@@ -189,9 +189,9 @@
                 self._reactor,
                 asked.body["timeLeft"] + 10,
                 self._read_all(attempt, lines),
-                NoAnswer("the stream did not end"),
+                OutcomeUnknownError("the stream did not end"),
             )
-        except OakError as error:
+        except OakrampError as error:
             # Nothing left the caller, so nothing ran.
             attempt.verdict = error.verdict.value
         except ValueError:
@@ -239,7 +239,7 @@
                 attempt.outcome, attempt.answer, attempt.verdict = "end", said["answer"], "yes"
             else:
                 attempt.outcome, attempt.error, attempt.verdict = "error", said["error"], said["verdict"]
-        except OakError as error:
+        except OakrampError as error:
             attempt.verdict = error.verdict.value
         attempt.done_at = self._reactor.seconds()
         return attempt
@@ -273,7 +273,7 @@
             status, _ = await self._client.json(
                 "POST", self.pick_gate(), f"/v1/{partner}/programs/{program}/end", {}, 10
             )
-        except OakError:
+        except OakrampError:
             return
         if status == 200:
             self._view.ended_at[f"{partner}/{program}"] = self._reactor.seconds()
@@ -361,7 +361,7 @@
                 if status < 500:
                     return status, said
                 last = said
-            except OakError as error:
+            except OakrampError as error:
                 last = error.to_json()
         return 503, last
 
--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -18,22 +18,22 @@
 
 from oakramp.common.constants import ALLOWANCE_CLOSED
 from oakramp.common.registry import Registry
-from oakramp.common.structured_logging import LogLine
+from oakramp.common.structured_logging import EventLogger
 from oakramp.common.tasks import settled, spawn
 from oakramp.common.validation import pack_json
 from oakramp.control.controllers import CONTROLLERS
 from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.routing import ROUTING_KEY, pieces_of
-from oakramp.control.shard_client import OwnerClient
-from oakramp.control.shard_leader import Context, View
+from oakramp.control.shard_client import ShardClient
+from oakramp.control.shard_leader import CommandContext, Transaction
 from oakramp.control.shards import pack_entry
 from oakramp.control.voter import entry_key
-from oakramp.gossip.state_table import Board
+from oakramp.gossip.state_table import StateTable
 from oakramp.membership.members import SILENT, Member
 from oakramp.rpc.codec import idl, pack, unpack
 from oakramp.rpc.endpoint import Connection
-from oakramp.storage.circular_log import Ring
-from oakramp.store.record_table import LineTable
+from oakramp.storage.circular_log import CircularLog
+from oakramp.store.record_table import ConversationTable
 from oakramp.testbed.measure import MEASURES, large_blueprint
 from oakramp.testbed.plan import Size, blueprint_of
 from oakramp.testbed.simdisk import SimDisk
@@ -433,13 +433,15 @@
 
     def run(self, command, arguments):
         """What the command wrote: key -> packed entry."""
-        view = View(self.entries, Context(self.node.reactor.seconds(), self.node.members, {}, None, self.node.board))
+        view = Transaction(
+            self.entries, CommandContext(self.node.reactor.seconds(), self.node.members, {}, None, self.node.board)
+        )
         CONTROLLERS.find(self.key.partition("/")[0]).run(view, self.key, command, arguments)
         self.entries |= view.changes()
         return view.changes()
 
     def image(self):
-        view = View(self.entries, None)
+        view = Transaction(self.entries, None)
         return CONTROLLERS.find(self.key.partition("/")[0]).image(view, self.key)
 
     def written(self, changes):
@@ -449,7 +451,7 @@
 
 def _published(fleet, entry, change):
     """Costs of one published key and of one change of it."""
-    board = Board(fleet["gate0"].node.node.reactor)
+    board = StateTable(fleet["gate0"].node.node.reactor)
 
     def publish():
         version, values = entry.image()
@@ -458,7 +460,7 @@
     publish()
     whole = board.whole_image(entry.key)
     seen = [idl.Seen(source=entry.key, version=whole.version)]
-    taker = Board(fleet["gate0"].node.node.reactor)
+    taker = StateTable(fleet["gate0"].node.node.reactor)
     _, held = memory_of(lambda: taker.merge_images([whole], 0.0))
     row = {"whole news B": len(pack(whole)), "held by each node kB": round(held / 1000)}
     began = thread_time()
@@ -586,11 +588,11 @@
         for number in range(count):
             entry = _OneEntry(fleet, f"blueprint/tenant-{number:04d}")
             entry.run("put", {"changeId": "c1", "basedOn": 0, "blueprint": blueprint_of("nile", "nile-plan-1")})
-            source = Board(fleet["gate0"].node.node.reactor)
+            source = StateTable(fleet["gate0"].node.node.reactor)
             source.publish(entry.key, fleet["gate0"].node.node.reactor.seconds)
             source.set_items(entry.key, *entry.image())
             images.append(source.whole_image(entry.key))
-        board = Board(fleet["gate0"].node.node.reactor)
+        board = StateTable(fleet["gate0"].node.node.reactor)
         packed = pack(idl.News(images=images))
         _, held = memory_of(lambda packed=packed, board=board: board.merge_images(unpack(idl.News, packed).images, 0.0))
         row = _pull_cost(board, None) | {"held kB": round(held / 1000), "first news B": len(packed)}
@@ -638,7 +640,7 @@
     fleet.bring_up()
     fleet.run(2.0)
     gate = fleet["gate0"].node.node
-    client = OwnerClient(gate)
+    client = ShardClient(gate)
 
     async def program(number):
         for key, command, arguments in COMMANDS[kind](gate, number, turns):
@@ -700,8 +702,8 @@
         host = SimHost(SimNetwork(self.time, random.Random(1)), "127.0.0.1")
         disk = SimDisk(self.time, random.Random(2))
         disk.attach(host)
-        self.reactor, self.node_id, self.log = SimReactor(host), "a", LogLine(lambda line: None)
-        self.ring = Ring(disk, self.log, seconds=self.reactor.seconds)
+        self.reactor, self.node_id, self.log = SimReactor(host), "a", EventLogger(lambda line: None)
+        self.ring = CircularLog(disk, self.log, seconds=self.reactor.seconds)
 
     def settle(self):
         self.time.advance_to(self.time.now + 0.1)
@@ -805,7 +807,7 @@
     rows, points = {}, {"memory B": [], "disk B": [], "write ms": []}
     for turns in (1, 10, 60):
         rig = DiskRig()
-        table = LineTable(rig, rig.ring)
+        table = ConversationTable(rig, rig.ring)
         value = pack_json(
             {
                 "turns": {
--- a/packages/testbed/oakramp/testbed/commands.py
+++ b/packages/testbed/oakramp/testbed/commands.py
@@ -11,10 +11,10 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakramp.common.errors import OakError
+from oakramp.common.errors import OakrampError
 from oakramp.common.structured_logging import stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
-from oakramp.control.shard_client import OwnerClient
+from oakramp.control.shard_client import ShardClient
 from oakramp.control.shards import slot_of_key
 from oakramp.gossip.node import Node
 from oakramp.testbed.fleet import Fleet
@@ -86,7 +86,7 @@
     )
     fleet.run(QUIET)
     work, gate, owner = WorkCount(fleet), fleet["gate0"].node.node, fleet["control0"]
-    client = OwnerClient(gate)
+    client = ShardClient(gate)
     idle = work.during(fleet, seconds)
     results = {"idle, functions a second": _by_kind(fleet, idle)}
 
@@ -134,7 +134,7 @@
         self.fleet = Fleet(folder, "brief")
         self.node = Node(reactor, "gate", env_of(CLIENT, self.fleet.machines), self.random, stderr_sink())
         self.node.log.event = lambda *_, **__: None
-        self.client = OwnerClient(self.node)
+        self.client = ShardClient(self.node)
         self._numbers = count(1)
         self.failed = Counter()
         self.times = []
@@ -172,7 +172,7 @@
                 asked_at = self.reactor.seconds()
                 await self.client.call(key, command, claim, 5.0)
                 self.times.append(self.reactor.seconds() - asked_at)
-        except OakError as error:
+        except OakrampError as error:
             self.failed[error.code] += 1
 
     async def load(self, rate, owner=None):
--- a/packages/testbed/oakramp/testbed/emulators.py
+++ b/packages/testbed/oakramp/testbed/emulators.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from oakramp.common.http_server import Web
+from oakramp.common.http_server import HttpServer
 from oakramp.common.tasks import sleep
 from oakramp.common.validation import pack_json
 
@@ -105,7 +105,7 @@
         self.faults = []
         self.seen_prefixes = set()
         self.cache_hits = self.cache_asks = 0
-        self.web = Web(reactor, address, log, 10000)
+        self.web = HttpServer(reactor, address, log, 10000)
         self.web.route("GET", "/describe", self._describe)
         self.web.route("POST", "/turn", self._turn)
         self.web.route("POST", "/call", self._call)
@@ -226,7 +226,7 @@
         self._reactor, self._record, self.address = reactor, record, address
         self.rows = {}
         self.replicas = {}
-        self.web = Web(reactor, address, log, 10000)
+        self.web = HttpServer(reactor, address, log, 10000)
         self.web.route("GET", "/replicas", self._list)
         self.web.route("POST", "/lab/leave/{id}", self._leave_call)
         self.web.route("POST", "/lab/fault/{id}", self._fault_call)
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -10,17 +10,17 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
-from oakramp.common.errors import OakError
+from oakramp.common.errors import OakrampError
 from oakramp.common.metrics import Metrics
 from oakramp.common.registry import Registry
-from oakramp.common.structured_logging import LogLine
+from oakramp.common.structured_logging import EventLogger
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.validation import pack_json
 from oakramp.control.prefix_placement import PLACEMENT_KEY
 from oakramp.control.replica_registry import REPLICAS_KEY
-from oakramp.gateway.balancer import Balancer, Wish
-from oakramp.gateway.prefix_placement import Placement
-from oakramp.gossip.state_table import Board
+from oakramp.gateway.balancer import Balancer, PlacementRequest
+from oakramp.gateway.prefix_placement import PrefixPlacement
+from oakramp.gossip.state_table import StateTable
 from oakramp.membership.rendezvous_hashing import score
 from oakramp.prefix_cache.counters import tenant_of
 from oakramp.prefix_cache.decision import Decision
@@ -118,9 +118,9 @@
         self.random, self.time = random.Random(f"eviction/{self.seed}"), SimTime()
         self.reactor = SimReactor(SimHost(SimNetwork(self.time, self.random), "10.0.0.1"))
         self.lines = []
-        self.log = LogLine(self.lines.append)
+        self.log = EventLogger(self.lines.append)
         self.engines, self.rows, self.version = {}, {}, 0
-        self.boards = [Board(self.reactor) for _ in range(self.scene.gates)]
+        self.boards = [StateTable(self.reactor) for _ in range(self.scene.gates)]
         self.gates = [self._gate(number, board) for number, board in enumerate(self.boards)]
         for number in range(self.scene.replicas):
             self.add_replica(f"r{number}", ZONES[number % len(ZONES)])
@@ -165,7 +165,7 @@
         )
         board.publish(PLACEMENT_KEY, lambda: self.confirmed_at)
         metrics = Metrics()
-        placement = Placement(node, self, metrics, lambda _: self.scene.kind.cache_tokens)
+        placement = PrefixPlacement(node, self, metrics, lambda _: self.scene.kind.cache_tokens)
         return SimpleNamespace(
             node=node, balancer=Balancer(node, self.log, placement), placement=placement, is_up=True, metrics=metrics
         )
@@ -181,7 +181,7 @@
 
     def _wish(self, program, prefix):
         now = self.reactor.seconds()
-        return Wish(
+        return PlacementRequest(
             SERVICE,
             self.scene.kind.berths,
             0,
@@ -208,7 +208,7 @@
         self.answers.append(answer)
         try:
             instance = await gate.balancer.acquire(self.wish(program, prefix))
-        except OakError:
+        except OakrampError:
             return
         name = instance.row["id"]
         self.runs[name] += 1
--- a/packages/testbed/oakramp/testbed/explore/network.py
+++ b/packages/testbed/oakramp/testbed/explore/network.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from oakramp.common.tasks import begin
-from oakramp.common.errors import NoAnswer, OakError, Unreachable
+from oakramp.common.errors import OutcomeUnknownError, OakrampError, UnreachableError
 from oakramp.rpc.codec import arguments_class
-from oakramp.rpc.endpoint import Net
+from oakramp.rpc.endpoint import RpcEndpoint
 from twisted.internet import defer
 
 
@@ -22,7 +22,7 @@
     deliver: object = field(repr=False)  # what its arrival does
 
 
-class ModelNet(Net):
+class ModelNet(RpcEndpoint):
     """The daemons' own peer connections, with the sockets replaced by the world's pool of messages."""
 
     def __init__(self, world, process, reactor, address, log):
@@ -35,7 +35,7 @@
     async def _link(self, address):
         receiver = self._world.process_at(address)
         if receiver is None:
-            raise Unreachable(f"nobody is at {address}")
+            raise UnreachableError(f"nobody is at {address}")
         return ModelConnection(self._world, self._process, receiver)
 
 
@@ -68,7 +68,7 @@
     @staticmethod
     def _give_up(answer, method):
         if not answer.called:
-            answer.errback(NoAnswer(f"no answer to {method} in time"))
+            answer.errback(OutcomeUnknownError(f"no answer to {method} in time"))
 
 
 def serve(process, peer, method, ask, ended):
@@ -76,9 +76,9 @@
 
     def failed(failure):
         error = failure.value
-        if not isinstance(error, OakError):
+        if not isinstance(error, OakrampError):
             process.log.event("callCrashed", method=method, error=repr(error), trace=failure.getTraceback())
-            error = OakError(f"{method} crashed")
+            error = OakrampError(f"{method} crashed")
         ended(None, error)
 
     begin(process.net.handlers[method](peer, ask)).addCallbacks(lambda result: ended(result, None), failed)
--- a/packages/testbed/oakramp/testbed/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -4,17 +4,17 @@
 
 from oakramp.common.tasks import spawn
 from oakramp.membership.members import LIVE, SILENT
-from oakramp.control import owner as owner_module
-from oakramp.control import roster as roster_module
-from oakramp.control import slots as slots_module
+from oakramp.control import shard_leader as owner_module
+from oakramp.control import voting_configuration as roster_module
+from oakramp.control import shards as slots_module
 from oakramp.control import voter as voter_module
 from oakramp.control.controllers import SLOT_SOURCE
-from oakramp.control.lease_expiry import LapseWatch
-from oakramp.control.shard_leader import Owners, TermRider
-from oakramp.control.voting_configuration import RosterWatch
+from oakramp.control.lease_expiry import LeaseExpiryWatch
+from oakramp.control.shard_leader import LeaderRegistry, LeaseRenewalPiggyback
+from oakramp.control.voting_configuration import MembershipRepairTask
 from oakramp.control.voter import Voter
-from oakramp.gossip.state_table import Board
-from oakramp.storage.circular_log import Ring
+from oakramp.gossip.state_table import StateTable
+from oakramp.storage.circular_log import CircularLog
 from oakramp.rpc.codec import idl
 from oakramp.testbed.explore.clock import ModelClock
 from oakramp.testbed.explore.network import ModelNet
@@ -112,15 +112,15 @@
         self.random = world.random
         self.log = ModelLog(world, machine.name)
         self.members = ModelMembers(world)
-        self.board = Board(self.clock)
+        self.board = StateTable(self.clock)
         self.puller = ModelPuller(world, self)
         self.net = ModelNet(world, self, self.clock, machine.address, self.log)
-        self.ring = Ring(machine.disk, self.log, RING_FILE_SIZE, seconds=self.clock.seconds)
+        self.ring = CircularLog(machine.disk, self.log, RING_FILE_SIZE, seconds=self.clock.seconds)
         self.voter = Voter(self, self.ring)
-        self.owners = Owners(self, self.voter)
-        self.rider = TermRider(self.owners, self)
-        self.lapses = LapseWatch(self, self.voter, self.owners)
-        self.roster_watch = RosterWatch(self, self.voter, self.owners)
+        self.owners = LeaderRegistry(self, self.voter)
+        self.rider = LeaseRenewalPiggyback(self.owners, self)
+        self.lapses = LeaseExpiryWatch(self, self.voter, self.owners)
+        self.roster_watch = MembershipRepairTask(self, self.voter, self.owners)
         self._watching = self._asking_lapses = False
         self.net.handle("pull", self._serve_pull)
 
--- a/packages/testbed/oakramp/testbed/explore/world.py
+++ b/packages/testbed/oakramp/testbed/explore/world.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from oakramp.common.validation import pack_json
-from oakramp.common.errors import OakError
-from oakramp.control.voting_configuration import ROSTER_KEY, Roster
+from oakramp.common.errors import OakrampError
+from oakramp.control.voting_configuration import ROSTER_KEY, VotingConfiguration
 from oakramp.control.routing import ROUTING_KEY
 from oakramp.rpc.codec import arguments_class
 from oakramp.testbed.explore.disk import ModelDisk
@@ -90,7 +90,7 @@
         process.ring.commit([("roster", packed_roster)])
         while process.machine.disk.syncs_waiting:
             process.machine.disk.end_sync()
-        process.voter.roster = Roster(json.loads(packed_roster))
+        process.voter.roster = VotingConfiguration(json.loads(packed_roster))
 
     # --- looking ---
 
@@ -226,7 +226,7 @@
                 return
             answer.end(self.step, json.loads(result) if error is None else None, error)
             self.note(OPERATOR, f"{answer.about} at {name}: {result if error is None else error}")
-            if error is not None and not isinstance(error, OakError):
+            if error is not None and not isinstance(error, OakrampError):
                 self.crashes.append(repr(error))
 
         self.post(Message(f"{OPERATOR}>{name}:{command}", OPERATOR, process, arrive))
--- a/packages/testbed/oakramp/testbed/failover.py
+++ b/packages/testbed/oakramp/testbed/failover.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from oakramp.common.errors import OakError
+from oakramp.common.errors import OakrampError
 from oakramp.common.tasks import sleep, spawn
 from oakramp.control.shards import slot_of_key
 from oakramp.testbed.plan import blueprint_of
@@ -110,7 +110,7 @@
                 status, _ = await client.json("PUT", address, f"/v1/blueprints/{PARTNER}", change, ORDER_PATIENCE)
                 if status in (200, 409):  # 409: another order came first, which a majority has
                     return True
-        except OakError:
+        except OakrampError:
             return False
         await sleep(self._reactor, ORDER_PAUSE)
         return False
--- a/packages/testbed/oakramp/testbed/faults.py
+++ b/packages/testbed/oakramp/testbed/faults.py
@@ -6,7 +6,7 @@
 
 from collections import Counter
 
-from oakramp.common.errors import RingDamaged
+from oakramp.common.errors import StorageCorruptedError
 from oakramp.common.registry import Registry
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.testbed.plan import PARTNERS, PLATFORM, blueprint_of
@@ -477,7 +477,7 @@
         try:
             one.start()
             fleet.mark(one.name, "started")
-        except RingDamaged:
+        except StorageCorruptedError:
             fleet.mark(one.name, "refuses its disk")
             one.kill()
             one.lose_disk()
--- a/packages/testbed/oakramp/testbed/main.py
+++ b/packages/testbed/oakramp/testbed/main.py
@@ -13,8 +13,8 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from oakramp.common.errors import Unknown
-from oakramp.common.structured_logging import LogLine, stderr_sink
+from oakramp.common.errors import NotFoundError
+from oakramp.common.structured_logging import EventLogger, stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled
 from oakramp.testbed.capacity import SLOPES
 from oakramp.testbed.checker import cut_off
@@ -52,7 +52,7 @@
     """Stand-in replicas, services and platform for a fleet of this size."""
     reactor = monotonic_reactor()
     platform, _ = build_standins(
-        reactor, PLATFORM, replica_rows(SIZES[size]), LogLine(stderr_sink(), node="standins"), adapters=MARKERS
+        reactor, PLATFORM, replica_rows(SIZES[size]), EventLogger(stderr_sink(), node="standins"), adapters=MARKERS
     )
     click.echo(f"{len(platform.rows)} replicas")
     reactor.run()
@@ -232,7 +232,7 @@
         kind, _, slope = name.partition(".")
         try:
             function = SLOPES.find(slope) if kind == "capacity" and slope else MEASURES.find(name)
-        except Unknown as error:
+        except NotFoundError as error:
             raise click.ClickException(error.reason) from error
         click.echo(f"{name}: {' '.join(function.__doc__.split())}")
         for what, value in function(seed).items():
--- a/packages/testbed/oakramp/testbed/mutation_testing.py
+++ b/packages/testbed/oakramp/testbed/mutation_testing.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class TakeOut:
+class CodeMutation:
     name: str
     file: str  # below packages/
     old: str
@@ -18,533 +18,533 @@
     test: str
 
 
-TAKE_OUTS = [
-    TakeOut(
+CODE_MUTATIONS = [
+    CodeMutation(
         "claim before carrying",
         "control/oakramp/control/idempotency.py",
         'if claim and claim["state"] == "claimed" and claim["admission"] != arguments["admission"]:',
         "if False:",
         "test_faults.ReplicaFaults.test_answer_that_never_comes",
     ),
-    TakeOut(
+    CodeMutation(
         "kept answer of a key",
         "control/oakramp/control/idempotency.py",
         'if claim and claim["state"] == "done":',
         "if False:",
         "test_faults.Budgets.test_keyed_calls_run_once",
     ),
-    TakeOut(
+    CodeMutation(
         "a key wins over a repeatable binding",
         "gateway/oakramp/gateway/plain.py",
         'lambda: request.body["key"] is None and bool(',
         "lambda: bool(",
         "test_faults.ReplicaFaults.test_key_wins_over_repeatable_binding",
     ),
-    TakeOut(
+    CodeMutation(
         "a maybe is not unsaid by a later no",
         "gateway/oakramp/gateway/forwarding.py",
         "return unsure if unsure is not None and error.verdict is Verdict.NO else error",
         "return error",
         "test_faults.ReplicaFaults.test_maybe_is_not_unsaid_by_a_later_no",
     ),
-    TakeOut(
+    CodeMutation(
         "a claimed call leaves soon or never",
         "gateway/oakramp/gateway/plain.py",
         "request.leave_by = self._reactor.seconds() + CLAIM_LEAVE",
         "pass",
         "test_faults.ReplicaFaults.test_keyed_call_that_waited_leaves_no_more",
     ),
-    TakeOut(
+    CodeMutation(
         "a promise needs the replica's word",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "        if answer.status in self._dialect.promise_statuses:",
         "        if False:",
         "test_relay_calls.Promises.test_a_refusal_without_the_replicas_word_is_no_promise",
     ),
-    TakeOut(
+    CodeMutation(
         "a caller that left waits for no room",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "with when_gone(passage.exchange, acquiring.cancel):",
         "with when_gone(passage.exchange, lambda: None):",
         "test_relay_calls.Leaving.test_while_it_waits_for_room",
     ),
-    TakeOut(
+    CodeMutation(
         "a replica stops when its caller leaves before the answer",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "                sending.cancel()\n",
         "                pass\n",
         "test_relay_calls.Leaving.test_while_a_replica_works_before_its_answers_head",
     ),
-    TakeOut(
+    CodeMutation(
         "nothing is sent once its caller left while connecting",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "if not passage.left or stops_with_caller(passage):",
         "if stops_with_caller(passage):",
         "test_relay_calls.Leaving.test_while_its_connection_is_being_made",
     ),
-    TakeOut(
+    CodeMutation(
         "a replica stops when its caller leaves in the middle of an answer",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "                answer.abort()\n\n        try:\n            with when_gone(",
         "                pass\n\n        try:\n            with when_gone(",
         "test_relay_calls.Leaving.test_in_the_middle_of_a_long_answer",
     ),
-    TakeOut(
+    CodeMutation(
         "a keyed call runs on without its caller",
         "gateway/oakramp/gateway/proxied_request.py",
         'return passage.route.kind in ("safe", "stream")',
         "return True",
         "test_relay_calls.Leaving.test_a_keyed_call_runs_on_and_its_answer_is_kept",
     ),
-    TakeOut(
+    CodeMutation(
         "a long answer that has begun is not begun again",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "if passage.exchange.begun and not (passage.head_passed and passage.is_numbered):",
         "if False:",
         "test_relay_calls.Streams.test_a_long_failure_that_is_cut_is_not_begun_again",
     ),
-    TakeOut(
+    CodeMutation(
         "a long answer to a key ends with the time",
         "gateway/oakramp/gateway/proxy_responses.py",
         "                    remaining_run(self._reactor, passage),\n                    rest.read(self._body_limit()),",
         "                    1e9,\n                    rest.read(self._body_limit()),",
         "test_relay_calls.Deadlines.test_a_long_answer_to_a_key_that_stops_coming_ends_with_the_time",
     ),
-    TakeOut(
+    CodeMutation(
         "a replica is handed the time left at the first byte",
         "http_proxy/oakramp/http_proxy/upstream.py",
         "                if not is_reused:\n                    data",
         "                if False:\n                    data",
         "test_relay_calls.Deadlines.test_a_replica_is_handed_what_is_left_when_it_is_sent",
     ),
-    TakeOut(
+    CodeMutation(
         "no time left is not all the time",
         "gateway/oakramp/gateway/proxy.py",
         "if request.time_left_s is None else",
         "if not request.time_left_s else",
         "test_relay_calls.Deadlines.test_no_time_left_is_not_all_the_time",
     ),
-    TakeOut(
+    CodeMutation(
         "events count by their own service",
         "gateway/oakramp/gateway/proxy_streams.py",
         'self._pass_on(passage, whole, self._tokens_per_event(instance.row["pool"]))',
         "self._pass_on(passage, whole, self._tokens_per_event(passage.route.backends[0][0]))",
         "test_relay_calls.Budgets.test_events_count_by_the_service_that_put_them_out",
     ),
-    TakeOut(
+    CodeMutation(
         "a caller that resumes has had its events",
         "gateway/oakramp/gateway/proxy.py",
         "            passage.last_id = request.resume_after",
         "            passage.last_id = None",
         "test_relay_calls.Streams.test_a_client_that_resumes_gets_no_event_again",
     ),
-    TakeOut(
+    CodeMutation(
         "what has no number is not gone on with",
         "gateway/oakramp/gateway/proxy_streams.py",
         "                passage.is_numbered = False",
         "                pass",
         "test_relay_calls.Streams.test_what_has_no_number_is_not_gone_on_with",
     ),
-    TakeOut(
+    CodeMutation(
         "a claim overtaken is told to come again",
         "gateway/oakramp/gateway/proxy_idempotency.py",
-        "            if error.code != Refused.code:\n                raise\n",
+        "            if error.code != RequestRejectedError.code:\n                raise\n",
         "            raise\n",
         "test_relay_calls.Keys.test_a_claim_that_was_overtaken_is_no_fault_of_its_caller",
     ),
-    TakeOut(
+    CodeMutation(
         "a half-sent request's connection is not used again",
         "http_proxy/oakramp/http_proxy/connection.py",
         " or has_unsent(self.transport):",
         ":",
         "test_relay_upstream.Sockets.test_a_replica_that_answered_early_gets_the_rest_of_that_body_and_nothing_else",
     ),
-    TakeOut(
+    CodeMutation(
         "what is given up is reset",
         "http_proxy/oakramp/http_proxy/connection.py",
         "            self._leave()\n            self.transport.abortConnection()\n        self._fail(",
         "            self._leave()\n            self.transport.loseConnection()\n        self._fail(",
         "test_relay_upstream.Sockets.test_what_is_given_up_while_a_part_has_left_never_arrives_whole",
     ),
-    TakeOut(
+    CodeMutation(
         "an answer bears its request's id",
         "http_proxy/oakramp/http_proxy/connection.py",
         "return named == value or named is None and not self._used",
         "return True",
         "test_relay_upstream.Keeping.test_an_answer_to_an_earlier_request",
     ),
-    TakeOut(
+    CodeMutation(
         "a nameless answer only on a new connection",
         "http_proxy/oakramp/http_proxy/connection.py",
         "named is None and not self._used",
         "named is None",
         "test_relay_upstream.Keeping.test_an_answer_that_names_no_request",
     ),
-    TakeOut(
+    CodeMutation(
         "bytes after an answer end its connection",
         "http_proxy/oakramp/http_proxy/connection.py",
         "        if rest:\n            self._leave()",
         "        if False:\n            self._leave()",
         "test_relay_upstream.Keeping.test_bytes_after_a_whole_answer",
     ),
-    TakeOut(
+    CodeMutation(
         "bytes on an idle connection end it",
         "http_proxy/oakramp/http_proxy/connection.py",
         "self.drop()  # bytes that belong to no request",
         "self._buffer += data",
         "test_relay_upstream.Keeping.test_bytes_on_an_idle_connection",
     ),
-    TakeOut(
+    CodeMutation(
         "a reset does not end an answer",
         "http_proxy/oakramp/http_proxy/connection.py",
         "and reason.check(error.ConnectionDone):",
         ":",
         "test_relay_upstream.Sending.test_answer_that_ends_with_its_connection",
     ),
-    TakeOut(
+    CodeMutation(
         "a kept connection is looked at before it is used",
         "http_proxy/oakramp/http_proxy/upstream.py",
         "and is_quiet(connection.transport):",
         ":",
         "test_relay_upstream.Sockets.test_an_end_not_yet_read_is_seen_before_anything_is_sent",
     ),
-    TakeOut(
+    CodeMutation(
         "silence before an answer is a maybe",
         "http_proxy/oakramp/http_proxy/connection.py",
-        'NoAnswer(f"{self.address} closed the connection before it answered")',
-        'NoAnswer(f"{self.address} closed it", Verdict.NO)',
+        'OutcomeUnknownError(f"{self.address} closed the connection before it answered")',
+        'OutcomeUnknownError(f"{self.address} closed it", Verdict.NO)',
         "test_relay_upstream.Keeping.test_closed_under_a_request",
     ),
-    TakeOut(
+    CodeMutation(
         "a relayed call's maybe is not unsaid",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "                raise (unsure or error) from None\n            try:",
         "                raise error from None\n            try:",
         "test_relay_worlds.Worlds.test_seeds",
     ),
-    TakeOut(
+    CodeMutation(
         "a relayed call is repeated only if it may be",
         "gateway/oakramp/gateway/proxy_forwarder.py",
         "return error.verdict is Verdict.NO or passage.may_repeat",
         "return True",
         "test_relay_worlds.Worlds.test_seeds",
     ),
-    TakeOut(
+    CodeMutation(
         "a key that may have run stays claimed",
         "gateway/oakramp/gateway/proxy_idempotency.py",
         "            if error.verdict is Verdict.NO:\n                await self._finish_claim",
         "            if True:\n                await self._finish_claim",
         "test_relay_calls.Promises.test_a_key_stays_claimed_after_it",
     ),
-    TakeOut(
+    CodeMutation(
         "events passed on are not passed on again",
         "gateway/oakramp/gateway/proxy_streams.py",
         "if passage.last_id is not None and event_id is not None and not _follows(event_id, passage.last_id):",
         "if False:",
         "test_relay_worlds.Worlds.test_seeds",
     ),
-    TakeOut(
+    CodeMutation(
         "what cannot be passed on whole is cut off",
         "http_proxy/oakramp/http_proxy/exchange.py",
         "            self._caller.cut_off()",
         "            self._send(b'0\\r\\n\\r\\n')",
         "test_relay_worlds.Worlds.test_seeds",
     ),
-    TakeOut(
+    CodeMutation(
         "a pipelined request has waited since it came",
         "http_proxy/oakramp/http_proxy/downstream.py",
         "exchange.received_at = self._arrived_at",
         "exchange.received_at = self.front.reactor.seconds()",
         "test_relay_calls.Deadlines.test_a_pipelined_request_has_waited_since_it_came",
     ),
-    TakeOut(
+    CodeMutation(
         "what a request says twice is refused",
         "../platform/oakramp_platform/dialect.py",
         "if len(set(names)) == len(names):",
         "if True:",
         "test_relay_calls.Ambiguous.test_what_two_readers_could_take_in_two_ways_is_refused",
     ),
-    TakeOut(
+    CodeMutation(
         "an answer that never pauses ends with the time",
         "gateway/oakramp/gateway/proxy_responses.py",
         "if self._reactor.seconds() >= passage.ends_at and not answer.has_ended:",
         "if False:",
         "test_relay_calls.Deadlines.test_an_answer_that_never_pauses_ends_with_the_time",
     ),
-    TakeOut(
+    CodeMutation(
         "a slow caller holds its replica no longer than its time",
         "gateway/oakramp/gateway/proxy_responses.py",
         "await within(self._reactor, remaining_run(self._reactor, passage), passage.exchange.wait_writable(), late)",
         "await passage.exchange.wait_writable()",
         "test_relay_calls.Deadlines.test_a_caller_that_does_not_take_its_answer_holds_its_replica_no_longer_than_its_time",
     ),
-    TakeOut(
+    CodeMutation(
         "the length of a body that is not sent",
         "gateway/oakramp/gateway/proxy_responses.py",
         'if passage.exchange.method == "HEAD" or status == NOT_MODIFIED:',
         "if False:",
         "test_relay_calls.Bodiless.test_the_length_told_of_a_body_that_is_not_sent",
     ),
-    TakeOut(
+    CodeMutation(
         "a lost yes is not followed by a no",
         "control/oakramp/control/shard_client.py",
         "error\n                            if unsure is None\n",
         "error\n                            if True\n",
         "test_stores.Replacing.test_lost_yes_is_not_followed_by_a_no",
     ),
-    TakeOut(
+    CodeMutation(
         "a young view refuses nothing",
         "control/oakramp/control/quorum_contact.py",
         "return self.seconds() >= VIEW_AGE",
         "return True",
         "test_cut_off.YoungViews.test_stores_that_are_not_back_yet_are_not_unknown",
     ),
-    TakeOut(
+    CodeMutation(
         "a view begins anew after a freeze",
         "control/oakramp/control/quorum_contact.py",
         "        if now - self._looked_at > CONTACT_GAP:\n            self._since = None\n",
         "",
         "test_cut_off.Contacts.test_so_does_a_frozen_process",
     ),
-    TakeOut(
+    CodeMutation(
         "a view begins anew after a cut",
         "control/oakramp/control/quorum_contact.py",
         "        if not hears_majority:\n            self._since = None\n        elif",
         "        if",
         "test_cut_off.Contacts.test_a_cut_begins_it_anew",
     ),
-    TakeOut(
+    CodeMutation(
         "no majority is told within half a second",
         "control/oakramp/control/shard_client.py",
         "                waiting.cancel()\n",
         "",
         "test_cut_off.CutMembers.test_owner_cut_from_the_other_members",
     ),
-    TakeOut(
+    CodeMutation(
         "a gate's unknown rests on news from after the call",
         "gateway/oakramp/gateway/bindings.py",
         "return None if confirmed_at >= asked_at else",
         "return None if True else",
         "test_cut_off.Gates.test_a_plan_that_a_gate_has_not_heard_of_yet_is_not_unknown",
     ),
-    TakeOut(
+    CodeMutation(
         "what no owner said is no answer",
         "control/oakramp/control/shard_client.py",
         '"timeSpent", "noMethod", "fenced"]',
         '"timeSpent"]',
         "test_cut_off.WrongAddresses.test_an_address_that_is_a_gates_now",
     ),
-    TakeOut(
+    CodeMutation(
         "a patch that can still be taken is not lost",
         "control/oakramp/control/routing.py",
-        "return CannotTell(f\"built on version {based_on}, the newest is {head['version']}\", Verdict.MAYBE)",
-        "return Lost(f\"built on version {based_on}, the newest is {head['version']}\")",
+        "return QuorumUnavailableError(f\"built on version {based_on}, the newest is {head['version']}\", Verdict.MAYBE)",
+        "return VersionConflictError(f\"built on version {based_on}, the newest is {head['version']}\")",
         "test_cut_off.WrongAddresses.test_a_patch_whose_base_has_just_become_the_newest",
     ),
-    TakeOut(
+    CodeMutation(
         "a member without a majority says so",
         "control/oakramp/control/quorum_contact.py",
         "            self._is_lost = not hears_majority\n",
         "            self._is_lost = False\n",
         "test_cut_off.Told.test_condition_and_doctor",
     ),
-    TakeOut(
+    CodeMutation(
         "a term is held for less than it is waited out",
         "control/oakramp/control/shard_leader.py",
         "lengthen(self.asked_at + TERM_HELD)",
         "lengthen(self.asked_at + TERM)",
         "test_cut_off.Clocks.test_a_term_ends_before_others_have_waited_it_out",
     ),
-    TakeOut(
+    CodeMutation(
         "news are vouched for as of before the look at the term",
         "control/oakramp/control/shard_leader.py",
         "        return now if owner.holds_term() else None",
         "        return self.reactor.seconds() if owner.holds_term() else None",
         "test_cut_off.FrozenOwners.test_owner_frozen_while_it_vouches",
     ),
-    TakeOut(
+    CodeMutation(
         "no answer by a term that is over",
         "control/oakramp/control/shard_leader.py",
         "return not self.ended and self._owners.reactor.seconds() < self.term_until",
         "return not self.ended",
         "test_cut_off.FrozenOwners.test_owner_frozen_for_a_moment_only",
     ),
-    TakeOut(
+    CodeMutation(
         "the term is looked at again after a read",
         "control/oakramp/control/shard_leader.py",
         "        if not self.holds_term():\n            return (\n",
         "        if False:\n            return (\n",
         "test_cut_off.FrozenOwners.test_owner_frozen_in_the_midst_of_a_read",
     ),
-    TakeOut(
+    CodeMutation(
         "a read asks the owner",
         "control/oakramp/control/operator_api.py",
         '        said = await self._ask(ROUTING_KEY, "read", {"known": known[0]})\n',
         '        said = known[0] and {"version": known[0]} or await self._ask(ROUTING_KEY, "read", {"known": known[0]})\n',
         "test_cut_off.CutMembers.test_member_cut_from_its_zones_others",
     ),
-    TakeOut(
+    CodeMutation(
         "an order goes on to an owner that is silent to one member",
         "control/oakramp/control/shard_client.py",
         "onward = bool(silent)",
         "onward = False",
         "test_cut_off.CutMembers.test_member_cut_from_the_owner_only",
     ),
-    TakeOut(
+    CodeMutation(
         "a replacement is told to be over once a majority stands in it",
         "control/oakramp/control/admin_api.py",
-        "            await self._in_force(Roster(record))",
+        "            await self._in_force(VotingConfiguration(record))",
         "            pass",
         "test_cut_off.Replacements.test_a_replacement_is_over_only_when_a_majority_stands_in_it",
     ),
-    TakeOut(
+    CodeMutation(
         "a gate acts on no table of old news",
         "gateway/oakramp/gateway/routing.py",
         "if self._board.age(ROUTING_KEY) > longest:",
         "if False:",
         "test_cut_off.CutGates.test_a_table_of_old_news_is_not_acted_on",
     ),
-    TakeOut(
+    CodeMutation(
         "no answer from before a freeze",
         "control/oakramp/control/operator_api.py",
         "if self._node.reactor.seconds() - asked_at > OPERATOR_ANSWER_AGE:",
         "if False:",
         "test_cut_off.FrozenAnswers.test_a_read",
     ),
-    TakeOut(
+    CodeMutation(
         "unknown at the command line",
         "cli/oakramp/cli/control_client.py",
         '"overloaded") and not unsure:',
         '"overloaded"):',
         "test_api.Asking.test_unknown_is_never_no",
     ),
-    TakeOut(
+    CodeMutation(
         "settling goes on until it is done",
         "control/oakramp/control/shard_client.py",
-        "            except (NoAnswer, CannotTell) as error:\n",
-        "            except (NoAnswer, CannotTell) as error:\n                raise\n",
+        "            except (OutcomeUnknownError, QuorumUnavailableError) as error:\n",
+        "            except (OutcomeUnknownError, QuorumUnavailableError) as error:\n                raise\n",
         "test_faults.Budgets.test_settled_however_long_it_takes",
     ),
-    TakeOut(
+    CodeMutation(
         "a silent owner is asked again",
         "control/oakramp/control/shard_client.py",
         "if reactor.seconds() < until}",
         "}",
         "test_cut_off.FrozenOwners.test_owner_frozen_for_a_moment_is_asked_again",
     ),
-    TakeOut(
+    CodeMutation(
         "full stores are said before the run",
         "gateway/oakramp/gateway/turns.py",
         "        if line.is_full:",
         "        if False:",
         "test_faults.StoreFaults.test_full_stores_are_said_before_the_run",
     ),
-    TakeOut(
+    CodeMutation(
         "adapters of a replica not described yet",
         "gateway/oakramp/gateway/load_balancer.py",
         'if all(replica.described_at > float("-inf") for replica in ready):',
         "if True:",
         "test_faults.ReplicaFaults.test_replica_not_described_yet_may_have_the_adapter",
     ),
-    TakeOut(
+    CodeMutation(
         "hints of retired stores go",
         "store/oakramp/store/store_node.py",
         "for node_id, hints in self._hints.items() if node_id in self.stores.everyone}",
         "for node_id, hints in self._hints.items()}",
         "test_stores.Replacing.test_nothing_is_kept_for_a_retired_store",
     ),
-    TakeOut(
+    CodeMutation(
         "ended programs are remembered",
         "control/oakramp/control/budget.py",
         "view.put(entry, sorted({*(view.get(entry) or ()), digest}))",
         "pass",
         "test_budgets.Budgets.test_ended_program_never_starts_anew",
     ),
-    TakeOut(
+    CodeMutation(
         "admissions taken back are told by number",
         "control/oakramp/control/reservation_numbers.py",
         'return kept is not None and arguments["number"]',
         'return False and arguments["number"]',
         "test_budgets.Budgets.test_nothing_is_left_reserved_in_any_order",
     ),
-    TakeOut(
+    CodeMutation(
         "claims taken back are told by number",
         "control/oakramp/control/idempotency.py",
         "    if is_back(claim, arguments):",
         "    if False:",
         "test_budgets.Claims.test_late_claim_taken_back_twice",
     ),
-    TakeOut(
+    CodeMutation(
         "a taken change that was forgotten is not refused",
         "control/oakramp/control/routing.py",
         "    if based_on < _oldest_remembered(view, head):\n",
         "    if False:\n",
         "test_routing.CompareAndSet.test_no_taken_change_is_ever_refused",
     ),
-    TakeOut(
+    CodeMutation(
         "what may still be taken is not refused",
         "control/oakramp/control/routing.py",
         '    if based_on >= head["version"]:\n        return\n',
         '    if based_on == head["version"]:\n        return\n',
         "test_routing.CompareAndSet.test_a_version_that_is_not_there_yet",
     ),
-    TakeOut(
+    CodeMutation(
         "the same, seen by operators in a random day",
         "control/oakramp/control/routing.py",
         "    if based_on < _oldest_remembered(view, head):\n",
         "    if False:\n",
         "test_orders.Trials.test_beyond_the_memory",
     ),
-    TakeOut(
+    CodeMutation(
         "a copy under way is not refused meanwhile",
         "control/oakramp/control/routing.py",
         '    if based_on > head["version"]:\n        raise _not_yet(head, based_on)\n',
-        '    if based_on > head["version"]:\n        raise Lost()\n',
+        '    if based_on > head["version"]:\n        raise VersionConflictError()\n',
         "test_orders.Repeats.test_copy_under_way_while_its_base_is_to_come",
     ),
-    TakeOut(
+    CodeMutation(
         "compare-and-set on the version built on",
         "control/oakramp/control/routing.py",
         "    _refuse_past(view, head, based_on)\n    if version",
         "    if version",
         "test_orders.Trials.test_within_the_memory",
     ),
-    TakeOut(
+    CodeMutation(
         "one change id names one change",
         "control/oakramp/control/plan.py",
         '        _check_same_change(known, arguments["changeId"], asked)\n',
         "",
         "test_blueprints.ChangeIds.test_one_id_for_two_changes",
     ),
-    TakeOut(
+    CodeMutation(
         "an accepted plan whose id was forgotten is not refused",
         "control/oakramp/control/plan.py",
         '    if based_on + 1 < head["first"]:\n',
         "    if False:\n",
         "test_blueprints.ChangeIds.test_no_accepted_change_is_ever_refused",
     ),
-    TakeOut(
+    CodeMutation(
         "a plan that grows a full state is refused",
         "control/oakramp/control/plan.py",
         "    view.context.refuse_full()\n",
         "",
         "test_blueprints.NoRoom.test_a_repeat_is_acknowledged_though_there_is_no_more_room",
     ),
-    TakeOut(
+    CodeMutation(
         "an heir that was behind gives whole images",
         "gossip/oakramp/gossip/state_table.py",
         "        if is_taken_up and image.version:\n",
         "        if False:\n",
         "test_news_takeover.TakeOver.test_new_owner_that_had_not_heard_of_a_version_which_others_have",
     ),
-    TakeOut(
+    CodeMutation(
         "exact repeats are known by their fingerprint",
         "control/oakramp/control/routing.py",
         "    return view.get(_taken_row(fingerprint))\n",
         "    return None\n",
         "test_routing.CompareAndSet.test_exact_repeats",
     ),
-    TakeOut(
+    CodeMutation(
         "the same configuration, however it is written",
         "control/oakramp/control/operator_api.py",
         "        return based_on, body, fingerprint_of(method, based_on, body)\n",
@@ -552,693 +552,693 @@
         "        return based_on, body, fingerprint_of(method, based_on, text)\n",
         "test_orders.Repeats.test_written_otherwise_it_is_the_same_configuration",
     ),
-    TakeOut(
+    CodeMutation(
         "an order to empty a machine is remembered after it is gone",
         "control/oakramp/control/store_membership.py",
         '    if machine in record.get("emptied", ()) or machine in {\n',
         "    if machine in {\n",
         "test_orders.Retiring.test_before_while_and_after_the_machine_is_gone",
     ),
-    TakeOut(
+    CodeMutation(
         "taking back keeps what ran",
         "control/oakramp/control/budget.py",
         'view.put(_mark_key(key, turn), mark | {"back"',
         'view.put(_mark_key(key, turn), mark | {"state": "never", "back"',
         "test_budgets.Budgets.test_taking_back_keeps_what_ran",
     ),
-    TakeOut(
+    CodeMutation(
         "turns of a program are bounded",
         "control/oakramp/control/budget.py",
         '    if mark is None and program["turns"] >= TURNS_LIMIT:\n        raise',
         "    if False:\n        raise",
         "test_budgets.Budgets.test_turns_of_a_program_are_bounded",
     ),
-    TakeOut(
+    CodeMutation(
         "admitted anew under a new plan",
         "gateway/oakramp/gateway/request.py",
         "if self.admitted_under not in (None, terms_of(binding)):",
         "if False:",
         "test_faults.Plans.test_waiting_turn_takes_all_of_the_new_plan",
     ),
-    TakeOut(
+    CodeMutation(
         "repeatable by the current plan",
         "gateway/oakramp/gateway/request.py",
         'return binding.get("maxOutput"), bool(binding.get("repeatable"))',
         'return binding.get("maxOutput"), None',
         "test_faults.Plans.test_no_longer_repeatable_is_not_repeated",
     ),
-    TakeOut(
+    CodeMutation(
         "waiting requests follow the plan",
         "gateway/oakramp/gateway/load_balancer.py",
         "if not is_current and not entry[4].called:",
         "if False:",
         "test_faults.Plans.test_waiting_requests_follow_the_plan_to_another_pool",
     ),
-    TakeOut(
+    CodeMutation(
         "programs opened under the owner's news of the plan",
         "control/oakramp/control/budget.py",
         "if age > BLUEPRINT_AGE:",
         "if False:",
         "test_faults.Plans.test_program_is_not_opened_under_old_news",
     ),
-    TakeOut(
+    CodeMutation(
         "one reservation a turn",
         "control/oakramp/control/budget.py",
         'if row and view.context.members.condition(row["gate"]) != SILENT:',
         "if False:",
         "test_faults.GateFaults.test_killed_in_mid_stream",
     ),
-    TakeOut(
+    CodeMutation(
         "admission against the limit",
         "control/oakramp/control/budget.py",
         'if program["spent"] + _reserved(program) >= program["limit"]:',
         "if False:",
         "test_faults.Budgets.test_concurrent_turns_stop_at_the_limit",
     ),
-    TakeOut(
+    CodeMutation(
         "refusal is final",
         "control/oakramp/control/budget.py",
         'if mark and mark["state"] != "never":',
         'if mark and mark["state"] not in ("never", "refused"):',
         "test_faults.Budgets.test_refusal_is_final",
     ),
-    TakeOut(
+    CodeMutation(
         "a vanished gate's reservation is spent",
         "control/oakramp/control/budget.py",
         'program["spent"] += row["reserve"]',
         "pass",
         "test_faults.GateFaults.test_killed_in_mid_stream",
     ),
-    TakeOut(
+    CodeMutation(
         "age of news",
         "gateway/oakramp/gateway/bindings.py",
         "if news_of(self._board, partner)[0] > BLUEPRINT_AGE:",
         "return None\n        if news_of(self._board, partner)[0] > BLUEPRINT_AGE:",
         "test_faults.GateFaults.test_cut_from_core_carries_nothing",
     ),
-    TakeOut(
+    CodeMutation(
         "age of replicas' news",
         "gateway/oakramp/gateway/bindings.py",
         "if self._board.age(REPLICAS_KEY) > REPLICA_AGE:",
         "if False:",
         "test_faults.GateFaults.test_leaving_while_its_owner_is_frozen",
     ),
-    TakeOut(
+    CodeMutation(
         "others asked to look at the platform",
         "control/oakramp/control/replica_discovery.py",
         "works | {self._node.node_id: own}",
         "{self._node.node_id: own}",
         "test_faults.GateFaults.test_platform_cut_off_from_the_owner_of_its_list",
     ),
-    TakeOut(
+    CodeMutation(
         "a majority says that nobody reaches the platform",
         "control/oakramp/control/replica_discovery.py",
         "if roster.is_quorum(away):",
         "if True:",
         "test_faults.GateFaults.test_owner_that_alone_says_nobody_reaches_the_platform",
     ),
-    TakeOut(
+    CodeMutation(
         "checks of run and seq",
         "gateway/oakramp/gateway/stream.py",
         'if type(event.get("seq")) is not int or event["seq"] != len(self.pieces):',
         "if False:",
         "test_faults.ReplicaFaults.test_bad_streams_never_look_complete",
     ),
-    TakeOut(
+    CodeMutation(
         "closing line of a run",
         "gateway/oakramp/gateway/stream.py",
-        'raise Broken("the replica\'s stream ended without its closing line")',
+        'raise IncompleteResponseError("the replica\'s stream ended without its closing line")',
         "return None",
         "test_faults.ReplicaFaults.test_bad_streams_never_look_complete",
     ),
-    TakeOut(
+    CodeMutation(
         "output within the reservation",
         "gateway/oakramp/gateway/stream.py",
         "if self.units + units > self._reserve or self._size > OUTPUT_LIMIT:",
         "if False:",
         "test_faults.ReplicaFaults.test_bad_streams_never_look_complete",
     ),
-    TakeOut(
+    CodeMutation(
         "majority of disks",
         "control/oakramp/control/voting_configuration.py",
         "len(node_ids & member_ids.keys()) > len(member_ids) // 2\n            for",
         "len(node_ids) >= 1\n            for",
         "test_faults.ControlFaults.test_core_split",
     ),
-    TakeOut(
+    CodeMutation(
         "wait for the former term",
         "control/oakramp/control/prepare_phase.py",
         "await self._former.ended(self._prepared_at - unconfirmed + TERM)",
         "pass",
         "test_faults.ControlFaults.test_no_two_terms_at_once",
     ),
-    TakeOut(
+    CodeMutation(
         "who may hold a term says so",
         "control/oakramp/control/shard_leader.py",
         "return slot in self.held or (slot in self._taking",
         "return False and (slot in self._taking",
         "test_faults.ControlFaults.test_no_two_terms_at_once",
     ),
-    TakeOut(
+    CodeMutation(
         "a new roster's voters vouch for nobody",
         "control/oakramp/control/voter.py",
         "termless=ROSTER_IS_NEW not in self._ring.table and",
         "termless=True and",
         "test_founding.Mending.test_who_may_hold_a_term_is_waited_for",
     ),
-    TakeOut(
+    CodeMutation(
         "a kept roster is told in the news again",
         "control/oakramp/control/voting_configuration.py",
         "        if roster is not None:\n            board.set_items",
         "        if False:\n            board.set_items",
         "test_explore.RosterKeptByOne.test_kept_roster_is_told_in_the_news_again",
     ),
-    TakeOut(
+    CodeMutation(
         "a voter that left the roster is asked no more",
         "control/oakramp/control/prepare_phase.py",
         "address = self._owners.voter_addresses().get(node_id)",
         "address = self._owners.voter_addresses()[node_id]",
         "test_explore.VoterThatLeft.test_image_of_a_voter_that_left_is_given_up",
     ),
-    TakeOut(
+    CodeMutation(
         "calls that name the node they are for",
         "rpc/oakramp/rpc/endpoint.py",
         "if wanted not in (None, found):",
         "if False:",
         "test_founding.Mending.test_empty_disk_does_not_stand_for_its_former_self",
     ),
-    TakeOut(
+    CodeMutation(
         "epochs promised once",
         "control/oakramp/control/voter.py",
         "if (\n            arguments.epoch <= table.promised_epoch\n",
         "if (\n            (arguments.epoch, arguments.owner) != earlier and arguments.epoch <= table.promised_epoch\n",
         "test_founding.Restarts.test_epoch_is_promised_once",
     ),
-    TakeOut(
+    CodeMutation(
         "a given slot is not published again",
         "control/oakramp/control/shard_leader.py",
         "if owner.ended:\n            return  # while",
         "if False:\n            return  # while",
         "test_founding.Mending.test_given_slot_is_not_published_again",
     ),
-    TakeOut(
+    CodeMutation(
         "what is founded is kept until it is done",
         "membership/oakramp/membership/identity.py",
         'self.founding = kept.get("founding")',
         "self.founding = founding",
         "test_founding.Founding.test_power_cut_of_all_seeds_amid_founding",
     ),
-    TakeOut(
+    CodeMutation(
         "the place of a silent member is kept free",
         "control/oakramp/control/voting_configuration.py",
         "if node_id not in here or not node.puller.answers_lately(answering[node_id].peer, ROSTER_HEARD)",
         "if False",
         "test_founding.Mending.test_empty_machine_at_a_new_address",
     ),
-    TakeOut(
+    CodeMutation(
         "a lapsed lease starts a take-over",
         "control/oakramp/control/lease_expiry.py",
         "if slot in lapsed and self._owners.is_free(slot) and",
         "if False and",
         "test_failover.LapseTest.test_slots_are_taken_over_before_their_owner_counts_as_silent",
     ),
-    TakeOut(
+    CodeMutation(
         "a lease has lapsed only by a majority's word",
         "control/oakramp/control/lease_expiry.py",
         "quiet = await self._ask_majority(slots)",
         "quiet = dict.fromkeys(slots, LEASE_LAPSED)",
         "test_failover.LapseTest.test_link_of_owner_to_one_voter",
     ),
-    TakeOut(
+    CodeMutation(
         "whose lease has lapsed is passed over",
         "control/oakramp/control/shard_leader.py",
         "if node_id not in suspects]",
         "if True]",
         "test_failover.LapseTest.test_slots_are_taken_over_before_their_owner_counts_as_silent",
     ),
-    TakeOut(
+    CodeMutation(
         "who answers is not passed over",
         "control/oakramp/control/lease_expiry.py",
         "if not self._answers(owner)}",
         "if owner}",
         "test_failover.LapseTest.test_slow_take_overs_are_not_disturbed",
     ),
-    TakeOut(
+    CodeMutation(
         "who was frozen itself suspects nobody",
         "control/oakramp/control/lease_expiry.py",
         "if not slots or not self._hears_majority():",
         "if not slots:",
         "test_failover.LapseTest.test_who_was_frozen_itself_suspects_nobody",
     ),
-    TakeOut(
+    CodeMutation(
         "who seeks a slot is not disturbed",
         "control/oakramp/control/voter.py",
         "since = max(since, self._promised_at.get(slot, since))",
         "pass",
         "test_failover.LapseTest.test_who_takes_a_slot_over_is_not_disturbed",
     ),
-    TakeOut(
+    CodeMutation(
         "a lapsed lease is longer than a short freeze",
         "common/oakramp/common/constants.py",
         "LEASE_LAPSED = 0.9",
         "LEASE_LAPSED = 0.6",
         "test_failover.LapseTest.test_freeze_of_half_a_second_takes_nothing_over",
     ),
-    TakeOut(
+    CodeMutation(
         "a suspected owner's lease is waited for",
         "control/oakramp/control/prepare_phase.py",
         "await self._former.ended(self._prepared_at - unconfirmed + TERM)",
         "pass",
         "test_failover.LapseTest.test_wrong_suspicion_waits_for_the_lease",
     ),
-    TakeOut(
+    CodeMutation(
         "a silent owner is left once another is known",
         "control/oakramp/control/leader_changes.py",
         "if owner is not None and address != owner:",
         "if False:",
         "test_failover.MovesTest.test_order_that_asked_a_silent_owner_is_done_soon",
     ),
-    TakeOut(
+    CodeMutation(
         "an answer on its way is waited for",
         "control/oakramp/control/leader_changes.py",
         "self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._leave, slot, outcome))",
         "self._reactor.callLater(0, partial(self._leave, slot, outcome))",
         "test_failover.MovesTest.test_answer_on_its_way_counts",
     ),
-    TakeOut(
+    CodeMutation(
         "who stops says so before it stops",
         "gossip/oakramp/gossip/gossip_client.py",
         'self.describe(replace(self._me, state="leaving"))',
         "pass",
         "test_failover.PlannedStopTest.test_planned_stop_holds_no_order_for_long",
     ),
-    TakeOut(
+    CodeMutation(
         "stepping in for who does not take its slot",
         "control/oakramp/control/shard_leader.py",
         "return place == (0 if late <= 0 else (1 + int(late / STEP_IN_TIME)) % len(order))",
         "return place == 0",
         "test_failover.LapseTest.test_first_choice_that_does_not_take_its_slot",
     ),
-    TakeOut(
+    CodeMutation(
         "one candidate at a time",
         "control/oakramp/control/shard_leader.py",
         "return place == (0 if late <= 0 else (1 + int(late / STEP_IN_TIME)) % len(order))",
         "return place == 0 or late > 0",
         "test_failover.LapseTest.test_first_choice_that_does_not_take_its_slot",
     ),
-    TakeOut(
+    CodeMutation(
         "the first candidate's own turn",
         "control/oakramp/control/shard_leader.py",
         "late = ownerless - CONDITION_AGE - STEP_IN_TIME",
         "late = ownerless - CONDITION_AGE - TERM",
         "test_failover.LapseTest.test_first_choice_that_does_not_take_its_slot",
     ),
-    TakeOut(
+    CodeMutation(
         "compare-and-set of plans",
         "control/oakramp/control/plan.py",
         'if based_on == head["version"]:',
         "if True:",
         "test_faults.ControlFaults.test_two_operators_race",
     ),
-    TakeOut(
+    CodeMutation(
         "change ids",
         "control/oakramp/control/plan.py",
         "    if known:\n        _check_same_change",
         "    if False:\n        _check_same_change",
         "test_api.ApiTest.test_operators",
     ),
-    TakeOut(
+    CodeMutation(
         "a long image beside the old one",
         "control/oakramp/control/voter.py",
         "rows = {entry_key(slot, generation, key): value",
         "rows = {entry_key(slot, table.generation, key): value",
         "test_images.Parts.test_power_cut_at_each_part",
     ),
-    TakeOut(
+    CodeMutation(
         "early refusal of a full slot",
         "control/oakramp/control/shard_leader.py",
         "if owner.size > self._voter.slot_limit():",
         "if False:",
         "test_images.Fleets.test_full_slot_says_no_early_and_stays_movable",
     ),
-    TakeOut(
+    CodeMutation(
         "a released slot is left to who asked for it",
         "control/oakramp/control/shard_leader.py",
         " and not self._is_given_away(slot)",
         "",
         "test_confirmation.Release.test_released_slot_is_left_to_who_asked_for_it_for_a_term",
     ),
-    TakeOut(
+    CodeMutation(
         "a first term is asked for until voters have passed to the roster",
         "control/oakramp/control/shard_leader.py",
         "        while not owner.confirmed.called and self._voter.roster.version == roster_version:\n",
         "        for _ in range(1):\n",
         "test_confirmation.Confirmation.test_term_refused_by_voters_on_their_way_to_a_roster_is_asked_for_again",
     ),
-    TakeOut(
+    CodeMutation(
         "sync before answering",
         "storage/oakramp/storage/circular_log.py",
         "        await self._sync()\n        if not",
         "        if not",
         "test_ring.RingTest.test_power_cut_anywhere_keeps_what_was_confirmed",
     ),
-    TakeOut(
+    CodeMutation(
         "a lap is synced before the next is begun",
         "storage/oakramp/storage/circular_log.py",
         "        await self._sync()\n        self._open_lap(",
         "        self._open_lap(",
         "test_ring.PowerLossTest.test_power_lost_at_any_write_and_sync",
     ),
-    TakeOut(
+    CodeMutation(
         "a lap's header is synced before its records",
         "storage/oakramp/storage/circular_log.py",
         "in front of them.\n        await self._sync()\n",
         "in front of them.\n",
         "test_ring.PowerLossTest.test_power_lost_at_any_write_and_sync",
     ),
-    TakeOut(
+    CodeMutation(
         "a start restores the reserve",
         "storage/oakramp/storage/circular_log.py",
         "while self._free_files() < RING_RESERVE_FILES:",
         "while False:",
         "test_ring.PowerLossTest.test_power_lost_at_any_write_and_sync",
     ),
-    TakeOut(
+    CodeMutation(
         "what a start drops is wiped",
         "storage/oakramp/storage/circular_log.py",
         "left_over |= _left_over(data, lap, LAP_SIZE)",
         "pass",
         "test_ring.PowerLossTest.test_records_that_a_start_dropped_never_return",
     ),
-    TakeOut(
+    CodeMutation(
         "what a start drops is wiped, also if its header is lost",
         "storage/oakramp/storage/circular_log.py",
         "return _left_over(data, lap, LAP_SIZE) if self._free_files() else {}",
         "return {}",
         "test_ring.PowerLossTest.test_records_that_a_start_dropped_never_return",
     ),
-    TakeOut(
+    CodeMutation(
         "only an empty record of an earlier release may lack",
         "storage/oakramp/storage/circular_log.py",
         "& 0xFFFFFFFF and length > 0",
         "& 0xFFFFFFFF and False",
         "test_ring.PowerLossTest.test_any_other_record_that_a_lap_lacks_is_damage",
     ),
-    TakeOut(
+    CodeMutation(
         "a node whose disk is damaged stays",
         "gossip/oakramp/gossip/daemon.py",
-        "except RingDamaged as error:",
+        "except StorageCorruptedError as error:",
         "except ZeroDivisionError as error:",
         "test_program.DamagedDisk.test_a_node_whose_disk_is_damaged_stays_and_says_so",
     ),
-    TakeOut(
+    CodeMutation(
         "calls to a store that just failed are held back",
         "store/oakramp/store/store_client.py",
         "if failing is None or self._reactor.seconds() >= failing.until:",
         "if True:",
         "test_store_calls.Storm.test_requests_that_wait_for_stores_do_not_storm_them",
     ),
-    TakeOut(
+    CodeMutation(
         "one call goes through after a pause",
         "store/oakramp/store/store_client.py",
         "if node_id in self._failing:  #",
         "if False:  #",
         "test_store_calls.StoreCallsTest.test_one_call_goes_through_after_a_pause",
     ),
-    TakeOut(
+    CodeMutation(
         "calls that fail together lengthen the pause once",
         "store/oakramp/store/store_client.py",
         "elif began >= failing.since:",
         "else:",
         "test_store_calls.StoreCallsTest.test_calls_that_fail_together_lengthen_the_pause_once",
     ),
-    TakeOut(
+    CodeMutation(
         "a small file is written whole",
         "storage/oakramp/storage/disk.py",
         "view = view[os.write(handle, view) :]",
         "view = view[os.write(handle, view) : 0]",
         "test_disk.FolderDiskTest.test_a_small_file_is_written_whole",
     ),
-    TakeOut(
+    CodeMutation(
         "a small file is synced before it gets its name",
         "storage/oakramp/storage/disk.py",
         "            os.fsync(handle)\n        finally:\n            os.close(handle)\n        os.rename(",
         "        finally:\n            os.close(handle)\n        os.rename(",
         "test_disk.FolderLosesPower.test_each_change_is_whole_or_has_not_begun",
     ),
-    TakeOut(
+    CodeMutation(
         "a file's making is synced",
         "storage/oakramp/storage/disk.py",
         "        self._sync_folder(self._folder)\n        self._handles[name] = handle",
         "        self._handles[name] = handle",
         "test_disk.FolderLosesPower.test_each_change_is_whole_or_has_not_begun",
     ),
-    TakeOut(
+    CodeMutation(
         "a removal is synced",
         "storage/oakramp/storage/disk.py",
         "        os.unlink(self._path(name))\n        self._sync_folder(self._folder)",
         "        os.unlink(self._path(name))",
         "test_disk.FolderLosesPower.test_each_change_is_whole_or_has_not_begun",
     ),
-    TakeOut(
+    CodeMutation(
         "unfinished files are not written on",
         "storage/oakramp/storage/disk.py",
         "if name.endswith(UNFINISHED):",
         "if False:",
         "test_disk.FolderLosesPower.test_each_change_is_whole_or_has_not_begun",
     ),
-    TakeOut(
+    CodeMutation(
         "a new folder is synced into the one around it",
         "storage/oakramp/storage/disk.py",
         "            self._sync_folder(os.path.dirname(folder) or os.curdir)\n",
         "",
         "test_disk.FolderDiskTest.test_a_new_folder_lasts",
     ),
-    TakeOut(
+    CodeMutation(
         "a ring without its identity",
         "membership/oakramp/membership/identity.py",
         "            self._refuse_orphaned_ring()\n",
         "            pass\n",
         "test_program.DamagedDisk.test_a_node_whose_disk_is_damaged_stays_and_says_so",
     ),
-    TakeOut(
+    CodeMutation(
         "swapped ring files",
         "storage/oakramp/storage/circular_log.py",
         "if self._file_name(header.lap) != name:",
         "if False:",
         "test_ring.RingTest.test_swapped_or_missing_files_are_not_silent",
     ),
-    TakeOut(
+    CodeMutation(
         "missing ring files",
         "storage/oakramp/storage/circular_log.py",
         "if heads and missing:",
         "if False:",
         "test_ring.RingTest.test_swapped_or_missing_files_are_not_silent",
     ),
-    TakeOut(
+    CodeMutation(
         "damage told from a torn tail",
         "storage/oakramp/storage/circular_log.py",
         "            if synced_number > self._number:\n",
         "            if False:\n",
         "test_ring.RingTest.test_damage_in_synced_part_is_not_silent",
     ),
-    TakeOut(
+    CodeMutation(
         "read quorum of stores",
         "store/oakramp/store/conversations.py",
         "lambda node_ids: len(node_ids) >= majority(stores.readers),",
         "lambda node_ids: len(node_ids) >= 1,",
         "test_faults.StoreFaults.test_too_few_stores_cannot_tell",
     ),
-    TakeOut(
+    CodeMutation(
         "union of siblings",
         "store/oakramp/store/conversations.py",
         "for value in versions.values()",
         "for value in list(versions.values())[:1]",
         "test_faults.StoreFaults.test_forks_keep_their_paths",
     ),
-    TakeOut(
+    CodeMutation(
         "a store that copies does not speak",
         "store/oakramp/store/conversations.py",
         "if not state.covers:",
         "if False:",
         "test_stores.Replacing.test_newcomer_has_no_read_vote",
     ),
-    TakeOut(
+    CodeMutation(
         "new clock id after letting go",
         "store/oakramp/store/record_table.py",
-        'LineRow(f"{self._node_id}#{self._births}"',
-        'LineRow(f"{self._node_id}#0"',
+        'ConversationRow(f"{self._node_id}#{self._births}"',
+        'ConversationRow(f"{self._node_id}#0"',
         "test_stores.Tables.test_counter_is_not_reused_after_letting_go",
     ),
-    TakeOut(
+    CodeMutation(
         "stripping what comes in",
         "store/oakramp/store/record_table.py",
         "{self._strip(clock): value for clock, value in versions.items()})",
         "versions)",
         "test_stores.Tables.test_unpruned_replica_does_not_resurrect",
     ),
-    TakeOut(
+    CodeMutation(
         "pruning only unused ids",
         "control/oakramp/control/store_membership.py",
         "if node_id not in used]",
         "]",
         "test_stores.Replacing.test_id_in_use_is_not_pruned",
     ),
-    TakeOut(
+    CodeMutation(
         "too few copies refused",
         "control/oakramp/control/store_membership.py",
         "node_id != leaving and members.condition(node_id) != LIVE]",
         "False]",
         "test_stores.Replacing.test_refusals",
     ),
-    TakeOut(
+    CodeMutation(
         "a store copies from others, not from itself under its former id",
         "store/oakramp/store/anti_entropy.py",
         "STORE_CALL_TIME, to=store.node_id,",
         "STORE_CALL_TIME,",
         "test_second_loss.FormerSelf.test_copy_of_itself_is_no_copy",
     ),
-    TakeOut(
+    CodeMutation(
         "a write names the store it is for",
         "store/oakramp/store/store_node.py",
         "peer, method, STORE_CALL_TIME, to=node_id, key=key",
         "peer, method, STORE_CALL_TIME, key=key",
         "test_second_loss.FormerSelf.test_its_copy_does_not_count_twice",
     ),
-    TakeOut(
+    CodeMutation(
         "no retirement before there is a store set",
         "control/oakramp/control/store_membership.py",
-        'raise CannotTell("the first store set has not been formed yet", retry_after=1)',
+        'raise QuorumUnavailableError("the first store set has not been formed yet", retry_after=1)',
         "pass",
         "test_second_loss.Retiring.test_order_before_the_set_is_formed",
     ),
-    TakeOut(
+    CodeMutation(
         "a lost store's place is given away before the next may be lost",
         "control/oakramp/control/store_membership.py",
         "max(2 * CONDITION_AGE, rejoin - STORES_JOIN_TIME)",
         "STORES_PATIENCE + rejoin * 0",
         "test_second_loss.ReplacedStore.test_lost_for_good",
     ),
-    TakeOut(
+    CodeMutation(
         "a store that is told to end gives its place away",
         "control/oakramp/control/store_membership.py",
         "or self._node.members.condition(node_id) == LEAVING",
         "or LEAVING is None",
         "test_second_loss.ReplacedStore.test_planned",
     ),
-    TakeOut(
+    CodeMutation(
         "a store that is told to end serves on until a spare has its place",
         "store/oakramp/store/store_node.py",
         "await self._give_place_away()",
         "pass",
         "test_second_loss.ReplacedStore.test_serves_on_until_the_spare_has_all",
     ),
-    TakeOut(
+    CodeMutation(
         "hand-over of slots and quiet stop",
         "common/oakramp/common/http_server.py",
         "while self._reactor.seconds() - quiet_since < QUIET_TIME and self._connections.protocols:",
         "while False:",
         "test_faults.GateFaults.test_planned_stops_cut_nothing_off",
     ),
-    TakeOut(
+    CodeMutation(
         "a generation of its own for each try at an image",
         "control/oakramp/control/voter.py",
         "generation = max(table.newest_generation, table.generation) + 1",
         "generation = table.generation + 1",
         "test_catching_up.TornImages.test_images_sent_again_while_leftovers_are_removed",
     ),
-    TakeOut(
+    CodeMutation(
         "an idle voter that is behind is brought up to date",
         "control/oakramp/control/replication.py",
         "spawn(self._reach(voter, roster_version, owner, progress.newest))",
         "pass",
         "test_catching_up.QuietSystem.test_a_member_that_was_killed",
     ),
-    TakeOut(
+    CodeMutation(
         "one update of a voter at a time",
         "control/oakramp/control/replication.py",
         "if not progress.is_updating:",
         "if True:",
         "test_catching_up.BusySystem.test_a_slow_member_catches_up_while_changes_keep_coming",
     ),
-    TakeOut(
+    CodeMutation(
         "what changes during an image's transfer follows it",
         "control/oakramp/control/replication.py",
         "        progress.begin_image(sequence)\n",
         "        progress.forget_missing()\n",
         "test_catching_up.BusySystem.test_a_slow_member_catches_up_while_changes_keep_coming",
     ),
-    TakeOut(
+    CodeMutation(
         "all that a voter missed is in its merged step",
         "control/oakramp/control/replication.py",
         "        for key, value in changes.items():\n            if key in self.missing:",
         "        self.gather_anew()\n        for key, value in changes.items():\n            if key in self.missing:",
         "test_catching_up.ManyChanges.test_members_in_trouble_among_many_changes",
     ),
-    TakeOut(
+    CodeMutation(
         "a slot is taken over anew above a voter's later promise",
         "control/oakramp/control/replication.py",
         "self._on_outranked(slot, owner)",
         "pass",
         "test_catching_up.QuietSystem.test_a_member_that_has_promised_a_later_epoch",
     ),
-    TakeOut(
+    CodeMutation(
         "a step too long for one commit",
         "control/oakramp/control/voter.py",
         "            await self._replace(slot, table, image, head)\n",
         "            raise\n",
         "test_catching_up.TornImages.test_a_step_that_is_too_much_for_one_commit",
     ),
-    TakeOut(
+    CodeMutation(
         "a route is made again only if it has changed",
         "gateway/oakramp/gateway/routing.py",
         "former[0] is row else",
         "False else",
         "test_routing.RouterTest.test_routes_that_did_not_change_are_not_made_again",
     ),
-    TakeOut(
+    CodeMutation(
         "a gate never goes back to an older table",
         "gateway/oakramp/gateway/routing.py",
         "if version <= self.version:",
         "if not version:",
         "test_routing.RouterTest.test_never_goes_back",
     ),
-    TakeOut(
+    CodeMutation(
         "a source that is behind takes nothing back",
         "gossip/oakramp/gossip/state_table.py",
         "            if received.version < image.version:\n                continue\n",
         "",
         "test_routing.RouterTest.test_older_news_confirm_nothing",
     ),
-    TakeOut(
+    CodeMutation(
         "a configuration must fit a second time",
         "control/oakramp/control/shard_leader.py",
         "if command in controller.replacing:",
         "if False:",
         "test_catching_up.FullDisks.test_a_configuration_is_refused_before_its_image_fits_no_more",
     ),
-    TakeOut(
+    CodeMutation(
         "a merged step is taken wherever it covers",
         "control/oakramp/control/voter.py",
         "            or self._covers(table, step)\n",
         "",
         "test_catching_up.Costs.test_flat_beyond_one_image",
     ),
-    TakeOut(
+    CodeMutation(
         "a silent voter gets no steps that it would take in late",
         "control/oakramp/control/shard_leader.py",
         "if owner.progress.is_stalled(node_id):",
         "if False:",
         "test_catching_up.Costs.test_flat_beyond_one_image",
     ),
-    TakeOut(
+    CodeMutation(
         "giving up at once",
         "gateway/oakramp/gateway/load_balancer.py",
         "if self._reactor.seconds() + expected > wish.ends_at:",
         "if False:",
         "test_faults.Crowd.test_refused_early_and_urgent_goes_through",
     ),
-    TakeOut(
+    CodeMutation(
         "fairness of partners",
         "gateway/oakramp/gateway/load_balancer.py",
         "_, partner = min(partners)",
@@ -1280,6 +1280,6 @@
 
 
 def try_all(root, names=()):
-    chosen = [one for one in TAKE_OUTS if not names or one.name in names]
+    chosen = [one for one in CODE_MUTATIONS if not names or one.name in names]
     with ThreadPool(os.cpu_count()) as pool:
         yield from pool.imap(lambda one: try_without(one, root), chosen)
--- a/packages/testbed/oakramp/testbed/powerloss.py
+++ b/packages/testbed/oakramp/testbed/powerloss.py
@@ -10,9 +10,9 @@
 import random
 import sys
 
-from oakramp.common.errors import OakError, RingFull
-from oakramp.common.structured_logging import LogLine
-from oakramp.storage.circular_log import Ring
+from oakramp.common.errors import OakrampError, StorageFullError
+from oakramp.common.structured_logging import EventLogger
+from oakramp.storage.circular_log import CircularLog
 from oakramp.testbed.simdisk import PowerLost, SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimTime
 
@@ -71,14 +71,14 @@
         self._disk.attach(self._host)
         self.starts += 1
         try:
-            self._ring = Ring(
+            self._ring = CircularLog(
                 self._disk,
-                LogLine(lambda line: None),
+                EventLogger(lambda line: None),
                 self._file_size,
                 commit_share=self._shares,
                 hot_bytes=self._hot_bytes,
             )
-        except OakError as error:
+        except OakrampError as error:
             raise Broken(f"the ring does not open: {error}") from error
 
     def _end(self):
@@ -99,7 +99,7 @@
         self._ring.commit(entries).addCallbacks(
             lambda _: self._confirm(place), lambda failure: outcome.append(failure.value)
         )
-        if outcome and isinstance(outcome[0], RingFull):
+        if outcome and isinstance(outcome[0], StorageFullError):
             del self._asked[place:]
             self.refusals += 1
 
--- a/packages/testbed/oakramp/testbed/scale.py
+++ b/packages/testbed/oakramp/testbed/scale.py
@@ -27,10 +27,10 @@
 
 from oakramp.cli.control_client import ask
 from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
-from oakramp.common.errors import OakError
+from oakramp.common.errors import OakrampError
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
 from oakramp.control.replica_registry import REPLICAS_KEY
-from oakramp.control.shard_client import OwnerClient
+from oakramp.control.shard_client import ShardClient
 from oakramp.gossip.node import Node
 from oakramp.membership.members import SILENT
 from oakramp.testbed.capacity import replica_rows, wire_meter
@@ -185,7 +185,7 @@
     async def _answer(self, asked):
         try:
             said = await getattr(self, f"do_{asked['do']}")(**asked.get("arguments", {}))
-        except OakError as error:
+        except OakrampError as error:
             said = {"error": str(error)}
         self.sendLine(json.dumps({"id": asked["id"], "said": said}).encode())
 
@@ -253,7 +253,7 @@
         } | {name: now[name] - total[name] for name in ("out", "in", "pulls", "answers")}
 
     async def do_call(self, key, command, arguments):
-        client = OwnerClient(self._living()[0])
+        client = ShardClient(self._living()[0])
         answer = await client.call(key, command, arguments, 20.0)
         return {"answer": answer, "at": self._reactor.seconds()}
 
--- a/packages/testbed/oakramp/testbed/simfleet.py
+++ b/packages/testbed/oakramp/testbed/simfleet.py
@@ -5,11 +5,11 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import SLOTS
-from oakramp.common.http_client import WebClient
-from oakramp.common.structured_logging import LogLine
+from oakramp.common.http_client import HttpClient
+from oakramp.common.structured_logging import EventLogger
 from oakramp.common.tasks import spawn
 from oakramp.control.control_node import ControlNode
-from oakramp.control.store_membership import StoreSet
+from oakramp.control.store_membership import StoreMembership
 from oakramp.gateway.gateway_node import GateNode
 from oakramp.store.store_node import StoreNode
 from oakramp.testbed.caller import Caller, Operator, View
@@ -133,7 +133,7 @@
         self.time = SimTime()
         self.network = SimNetwork(self.time, random.Random(f"net/{seed}"))
         self.lines, self.marks = [], []
-        self.lab_log = LogLine(self.log, node="lab")
+        self.lab_log = EventLogger(self.log, node="lab")
         self.view, self.record = View(), Record()
         self.machines = machines_of(size)
         self.by_name = {machine.name: SimMachine(self, machine) for machine in self.machines}
@@ -142,14 +142,14 @@
         self.operator_reactor = SimReactor(SimHost(self.network, OPERATOR_HOST))
         self.caller = Caller(
             self.caller_reactor,
-            WebClient(self.caller_reactor),
+            HttpClient(self.caller_reactor),
             [machine.http for machine in self.machines if machine.kind == "gate"],
             random.Random(f"callers/{seed}"),
             self.view,
         )
         self.operator = Operator(
             self.operator_reactor,
-            WebClient(self.operator_reactor),
+            HttpClient(self.operator_reactor),
             [machine.http for machine in self.machines if machine.kind == "control"],
             random.Random(f"operators/{seed}"),
             self.view,
@@ -298,7 +298,7 @@
     @staticmethod
     def _knows_all(node):
         """Whether the gate knows replicas and the store set, so that a turn that is sent now goes its way at once."""
-        return bool(node.placer.replicas) and StoreSet.from_board(node.node.board).epoch > 0
+        return bool(node.placer.replicas) and StoreMembership.from_board(node.node.board).epoch > 0
 
     def is_ready(self):
         if len(self.slots_held()) < SLOTS:
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -7,18 +7,18 @@
 
 from sortedcontainers import SortedDict
 
-from oakramp.common.structured_logging import LogLine
+from oakramp.common.structured_logging import EventLogger
 from oakramp.control import budget  # noqa: F401  it enters its controller
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.shard_leader import Context, SlotOwner, View
+from oakramp.control.shard_leader import CommandContext, ShardLeader, Transaction
 from oakramp.control.shards import pack_entry, slot_of_key
 from oakramp.control.voter import Voter, entry_key
 from oakramp.rpc.codec import pack
-from oakramp.storage.circular_log import Ring
-from oakramp.store.record_table import LineRow, LineTable, to_state
+from oakramp.storage.circular_log import CircularLog
+from oakramp.store.record_table import ConversationRow, ConversationTable, to_state
 from oakramp.testbed.simdisk import SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
-from oakramp.version_vectors.version_vector import Clock
+from oakramp.version_vectors.version_vector import VersionVector
 
 ENDPOINT = "127.0.0.1"
 
@@ -46,10 +46,10 @@
         self.host = SimHost(SimNetwork(self.time, random.Random(1)), ENDPOINT)
         self.disk = SimDisk(self.time, random.Random(2))
         self.disk.attach(self.host)
-        self.reactor, self.node_id, self.log = SimReactor(self.host), "a", LogLine(lambda line: None)
-        self.table = LineTable(self, Ring(self.disk, self.log, 1 << 18))
+        self.reactor, self.node_id, self.log = SimReactor(self.host), "a", EventLogger(lambda line: None)
+        self.table = ConversationTable(self, CircularLog(self.disk, self.log, 1 << 18))
         for number in range(lines):
-            self.table._enter(f"k{number:07d}", LineRow("a#1", {Clock({"a#1": (0, 1)}): b"x"}, 0.0))
+            self.table._enter(f"k{number:07d}", ConversationRow("a#1", {VersionVector({"a#1": (0, 1)}): b"x"}, 0.0))
 
     def put(self):
         self.table.put("k0000500", frozenset(), b"y")
@@ -86,9 +86,9 @@
     for number in range(programs):
         entries[f"budget/p/g{number:06d}"] = pack_entry({"limit": 100, "spent": 0, "open": {}, "turns": 1})
         entries[f"budget/p/g{number:06d}#turn/l/t"] = pack_entry({"state": "done", "back": {}})
-    owner = SlotOwner.__new__(SlotOwner)
+    owner = ShardLeader.__new__(ShardLeader)
     owner.entries, owner.swept_to, owner.size = entries, "", 0
-    context = Context(0.0, _Members(), {}, None, _Board())
+    context = CommandContext(0.0, _Members(), {}, None, _Board())
     admission = {"turn": "l/t2", "print": "x", "admission": "a", "gate": "g", "number": 1}
 
     def turn():
@@ -96,7 +96,7 @@
             ("admit", {"reserve": 8, "repeatable": False}),
             ("settle", {"units": 3, "outcome": "done"}),
         ):
-            view = View(owner.entries, context)
+            view = Transaction(owner.entries, context)
             CONTROLLERS.find("budget").run(view, "budget/p/g000050", command, admission | more)
             owner._apply(view.changes())
 
@@ -111,7 +111,7 @@
         host = SimHost(SimNetwork(time, random.Random(1)), ENDPOINT)
         disk = SimDisk(time, random.Random(2))
         disk.attach(host)
-        ring = Ring(disk, LogLine(lambda line: None))
+        ring = CircularLog(disk, EventLogger(lambda line: None))
         for first in range(0, len(pairs), 500):
             ring.commit(pairs[first : first + 500])
             time.advance_to(time.now + 0.1)
@@ -122,14 +122,14 @@
         node = SimpleNamespace(
             reactor=SimReactor(host),
             node_id="a",
-            log=LogLine(lambda line: None),
+            log=EventLogger(lambda line: None),
             net=SimpleNamespace(handle=lambda *_: None),
         )
         started_at = process_time()
-        build(node, Ring(disk, node.log))
+        build(node, CircularLog(disk, node.log))
         return round(process_time() - started_at, 2)
 
-    state = pack(to_state({Clock({"a#1": (0, 1)}): bytes(100)}))
+    state = pack(to_state({VersionVector({"a#1": (0, 1)}): bytes(100)}))
     program = pack_entry({"limit": 100, "spent": 0, "open": {}, "turns": 1})
     mark = pack_entry({"state": "done", "back": {}, "print": "x" * 32, "admission": "a" * 32, "units": 3})
     entries = [
@@ -142,6 +142,6 @@
         )
     ]
     return (
-        timed(LineTable, [(f"l/p/g{number}/l", b"a#1\0" + state) for number in range(lines)]),
+        timed(ConversationTable, [(f"l/p/g{number}/l", b"a#1\0" + state) for number in range(lines)]),
         timed(Voter, entries),
     )
--- a/packages/version_vectors/oakramp/version_vectors/causal_context.py
+++ b/packages/version_vectors/oakramp/version_vectors/causal_context.py
@@ -3,7 +3,7 @@
 import base64
 import json
 
-from oakramp.version_vectors.version_vector import Clock
+from oakramp.version_vectors.version_vector import VersionVector
 
 
 def clock_to_row(clock):
@@ -19,7 +19,7 @@
         for part in row
     ):
         raise ValueError("no clock")
-    return Clock({part[0]: part[1] if len(part) == 2 else (part[1], part[2]) for part in row})
+    return VersionVector({part[0]: part[1] if len(part) == 2 else (part[1], part[2]) for part in row})
 
 
 def to_context(clock_set):
--- a/packages/version_vectors/oakramp/version_vectors/version_vector.py
+++ b/packages/version_vectors/oakramp/version_vectors/version_vector.py
@@ -5,7 +5,7 @@
 """
 
 
-class Clock:
+class VersionVector:
     """An immutable clock.
 
     Invariants: every m >= 0; in a pair n > m; every id occurs once; a plain entry has m >= 1, since
@@ -26,7 +26,7 @@
         self._hash = hash(frozenset(kept.items()))
 
     def __eq__(self, other):
-        return isinstance(other, Clock) and self.entries == other.entries
+        return isinstance(other, VersionVector) and self.entries == other.entries
 
     def __hash__(self):
         return self._hash
@@ -90,7 +90,7 @@
 def update(context_set, local_set, node_id):
     """The clock of a new version written with this context at the replica node `nodeId`."""
     past = {other: ceiling(context_set, other) for other in ids(context_set) if other != node_id}
-    return Clock(past | {node_id: (ceiling(context_set, node_id), ceiling(local_set, node_id) + 1)})
+    return VersionVector(past | {node_id: (ceiling(context_set, node_id), ceiling(local_set, node_id) + 1)})
 
 
 def sync_versions(left_versions, right_versions):
