--- a/packages/common/oakramp/common/http_server.py
+++ b/packages/common/oakramp/common/http_server.py
@@ -179,7 +179,7 @@
         except OakrampError as error:
             call.reply_error(error)
         except Exception as error:
-            self._log.event("requestCrashed", path=request.path.decode(errors="replace"), error=repr(error))
+            self._log.error("request_crashed", path=request.path.decode(errors="replace"), error=repr(error))
             call.reply_error(OakrampError("internal fault", verdict=Verdict.MAYBE))
         finally:
             self.running -= 1
--- a/packages/common/oakramp/common/structured_logging.py
+++ b/packages/common/oakramp/common/structured_logging.py
@@ -10,8 +10,6 @@
 LOGGER_NAME = "oakramp"
 LEVELS = ("info", "debug", "warning", "error")  # the first is the default
 FORMATS = ("text", "json")  # the first is the default
-_ERROR_ENDINGS = ("Crashed",)
-_WARNING_ENDINGS = ("Failed", "Unreadable", "Lost", "Unanswered", "Late", "TornTail")
 
 
 def _shown(value):
@@ -21,26 +19,17 @@
     return text if text and not set(text) & set(' "=\n\t') else json.dumps(text)
 
 
-def level_of(name):
-    """The logging level of an event by the ending of its name: a crash is an error, a failure is a warning."""
-    if name.endswith(_ERROR_ENDINGS):
-        return logging.ERROR
-    if name.endswith(_WARNING_ENDINGS):
-        return logging.WARNING
-    return logging.INFO
-
-
 class EventRecord(str):
     """The text of one event (`event=NAME key=value ...`), which also carries its level and its pairs."""
 
     __slots__ = ("level", "pairs")
 
     @classmethod
-    def of(cls, name, pairs):
-        """The line for this event name and these pairs (a dict, in the order in which they are shown)."""
+    def of(cls, level, name, pairs):
+        """The record of an event: its `logging` level, name and fields (a dict in the order of the line)."""
         every = {"event": name, **pairs}
         line = cls(" ".join(f"{key}={_shown(value)}" for key, value in every.items()))
-        line.level, line.pairs = level_of(name), every
+        line.level, line.pairs = level, every
         return line
 
 
@@ -51,9 +40,24 @@
         self._sink = sink
         self._fixed_pairs = fixed_pairs
 
-    def event(self, name, **pairs):
-        """Logs the event `name` with these pairs behind the fixed ones."""
-        self._sink(EventRecord.of(name, self._fixed_pairs | pairs))
+    def debug(self, event, /, **fields):
+        """Logs an event that only helps to follow the program step by step."""
+        self._log(logging.DEBUG, event, fields)
+
+    def info(self, event, /, **fields):
+        """Logs a change of state that is part of normal work."""
+        self._log(logging.INFO, event, fields)
+
+    def warning(self, event, /, **fields):
+        """Logs a fault that the program handles, but which an operator may have to look at."""
+        self._log(logging.WARNING, event, fields)
+
+    def error(self, event, /, **fields):
+        """Logs a fault that the program did not expect."""
+        self._log(logging.ERROR, event, fields)
+
+    def _log(self, level, event, fields):
+        self._sink(EventRecord.of(level, event, self._fixed_pairs | fields))
 
     def bound(self, **more_pairs):
         """A log with these pairs in each of its lines."""
--- a/packages/common/oakramp/common/tasks.py
+++ b/packages/common/oakramp/common/tasks.py
@@ -76,9 +76,9 @@
             return
         error = failure.value
         if isinstance(error, OakrampError):
-            log.event("taskFailed", code=error.code, reason=error.reason)
+            log.warning("task_failed", code=error.code, reason=error.reason)
             return
-        log.event("taskCrashed", error=repr(error), trace=failure.getTraceback())
+        log.error("task_crashed", error=repr(error), trace=failure.getTraceback())
 
     task.addErrback(failed)
     return task
@@ -184,7 +184,7 @@
             except defer.CancelledError:
                 raise
             except OakrampError as error:
-                self._log.event("roundFailed", round=self._round.__qualname__, reason=error.reason)
+                self._log.warning("periodic_task_failed", round=self._round.__qualname__, reason=error.reason)
             except Exception as error:  # one bad round must not end the duty
-                self._log.event("roundCrashed", round=self._round.__qualname__, error=repr(error))
+                self._log.error("periodic_task_crashed", round=self._round.__qualname__, error=repr(error))
             await sleep(self._reactor, self._pause)
--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -73,7 +73,7 @@
             await voter.set_roster(roster)
             self._node.identity.join_cluster(body["clusterId"])
             self._node.net.join_cluster(body["clusterId"])
-            self._node.log.event("clusterMade", cluster_id=body["clusterId"], members=len(body["roster"]))
+            self._node.log.info("cluster_created", cluster_id=body["clusterId"], members=len(body["roster"]))
         return 200, {"nodeId": self._node.node_id, "clusterId": body["clusterId"]}
 
     async def _ask(self, key, command, arguments, time_left=READ_TIME):
--- a/packages/control/oakramp/control/bootstrap.py
+++ b/packages/control/oakramp/control/bootstrap.py
@@ -51,4 +51,4 @@
     await voter.set_roster(founding["roster"])
     node.identity.join_cluster(founding["clusterId"], founded=True)
     node.net.join_cluster(founding["clusterId"])
-    node.log.event("clusterFounded", cluster_id=founding["clusterId"], members=len(founding["roster"]["members"]))
+    node.log.info("cluster_bootstrapped", cluster_id=founding["clusterId"], members=len(founding["roster"]["members"]))
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -88,7 +88,7 @@
             try:
                 await found(self.node, self.voter)
             except (OakrampError, OSError) as error:
-                self.node.log.event("foundingFailed", error=repr(error))
+                self.node.log.warning("bootstrap_failed", error=repr(error))
                 await sleep(self.node.reactor, OWNER_TRIES_PAUSE)
         self._start_duties()
 
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -113,7 +113,7 @@
                 return 200, await handler(call)
             except OakrampError as error:
                 status = self._status_of(error)
-                self._node.log.event("operatorRefused", status=status, code=error.code, reason=error.reason)
+                self._node.log.info("operator_request_rejected", status=status, code=error.code, reason=error.reason)
                 return status, error.to_json(), OPERATOR_RETRY if status == AGAIN else None
 
         return answer
@@ -209,7 +209,7 @@
         if len(pack_json(arguments)) > FRAME_LIMIT - FRAME_ROOM:
             raise TooLargeError("the configuration is too large")
         taken = await self._ask(ROUTING_KEY, command, arguments)
-        self._node.log.event("routingTaken", version=taken["version"], based_on=based_on, by=command)
+        self._node.log.info("routing_change_committed", version=taken["version"], based_on=based_on, by=command)
         return taken
 
     # --- machines to be emptied ---
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -192,8 +192,8 @@
         if outcome.rows != former or (row and row["mode"] != self.mode):
             await owner.do(PLACEMENT_KEY, "set", {"service": service, "mode": self.mode, "tenants": outcome.rows})
             self.counts.update(moved=len(outcome.moved), let_go=len(outcome.let_go))
-            self._node.log.event(
-                "evictionPlan",
+            self._node.log.info(
+                "eviction_plan_changed",
                 service=service,
                 mode=self.mode,
                 tenants=len(outcome.rows),
@@ -205,7 +205,7 @@
     def _tell(self, service, outcome):
         """One line when who is trapped, or who finds no room, changes; not one a round."""
         trapped = sorted(name for name, one in outcome.findings.items() if one.is_trapped)
-        for event, names in (("evictionTrapped", trapped), ("evictionNoRoom", outcome.without_room)):
+        for event, names in (("eviction_detected", trapped), ("eviction_capacity_missing", outcome.without_room)):
             if bool(names) != bool(self._told.get((event, service))):
-                self._node.log.event(event, service=service, tenants=len(names), first=",".join(names[:TENANTS_NAMED]))
+                self._node.log.info(event, service=service, tenants=len(names), first=",".join(names[:TENANTS_NAMED]))
             self._told[event, service] = names
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -32,7 +32,10 @@
             self._since = now
         if self._is_lost == hears_majority:
             self._is_lost = not hears_majority
-            self._log.event("majorityReached" if hears_majority else "majorityLost")
+            if hears_majority:
+                self._log.info("quorum_contact_gained")
+            else:
+                self._log.warning("quorum_contact_lost")
 
     def is_lost(self):
         """Whether the last look found no majority."""
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -101,7 +101,7 @@
         for why, names in odd.items():
             names = sorted(names)
             if names != self._told.get(why, []):
-                self._log.event("platformRows", why=why, rows=len(names), first=",".join(names[:4]))
+                self._log.info("replica_list_anomaly", why=why, rows=len(names), first=",".join(names[:4]))
             self._told[why] = names
 
 
@@ -201,7 +201,7 @@
             reason = error.reason
         if self.reachable != (not reason):
             self.reachable = not reason
-            self._node.log.event("platformReachable" if self.reachable else "platformUnreachable", reason=reason)
+            self._node.log.info("platform_reachable" if self.reachable else "platform_unreachable", reason=reason)
         if reason:
             raise PlatformUnavailableError(f"the platform cannot be read from here: {reason}")
         return rows
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -355,7 +355,7 @@
         except OakrampError:
             progress.forget_missing()
             raise
-        self._log.event("imageGiven", slot=owner.slot, voter=voter[0], sequence=sequence, entries=len(entries))
+        self._log.info("snapshot_sent", slot=owner.slot, voter=voter[0], sequence=sequence, entries=len(entries))
 
     async def _give_image(self, voter, roster_version, owner, sequence, entries):
         """In the order of the keys: so each try at one image has the same parts, and none is mixed up with a late one."""
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -57,7 +57,7 @@
             try:
                 return await self.call(key, command, arguments, SETTLE_TIME)
             except (OutcomeUnknownError, QuorumUnavailableError) as error:
-                self._node.log.event("commandLate", key=key, command=command, reason=error.reason)
+                self._node.log.warning("command_outcome_late", key=key, command=command, reason=error.reason)
 
     async def call(self, key, command, arguments, time_left):
         """The owner's answer. Raises what the owner said, if it was asked once; NoAnswer if an ask left and its
@@ -129,7 +129,7 @@
         try:
             return await waiting
         except CancelledError:
-            self._node.log.event("noMajority", key=key, command=command)
+            self._node.log.info("quorum_unavailable", key=key, command=command)
             raise OutcomeUnknownError(
                 "this node reaches no majority of the roster", retry_after=OPERATOR_RETRY
             ) from None
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -159,7 +159,7 @@
         except OakrampError:
             raise
         except Exception as error:
-            self._owners.log.event("commandCrashed", key=key, command=command, error=repr(error))
+            self._owners.log.error("command_crashed", key=key, command=command, error=repr(error))
             raise OakrampError(f"{command} crashed", Verdict.NO) from error
         view.fold(inner)
         return result
@@ -468,7 +468,7 @@
     def _on_outranked(self, slot, owner):
         """A voter that has promised a later epoch takes no step of this one, and nobody serves under that. So the slot is
         taken over anew, under an epoch above."""
-        self.log.event("epochOutranked", slot=slot, epoch=owner.epoch, seen=self._seen_epochs.get(slot, 0))
+        self.log.info("epoch_superseded", slot=slot, epoch=owner.epoch, seen=self._seen_epochs.get(slot, 0))
         owner.end()
 
     # --- terms ---
@@ -479,7 +479,7 @@
         now = self.reactor.seconds()
         for slot, owner in list(self.held.items()):
             if now > owner.term_until + TERM:
-                self.log.event("termLost", slot=slot, epoch=owner.epoch)
+                self.log.warning("lease_lost", slot=slot, epoch=owner.epoch)
                 owner.end()
         if any(
             owner.term_until < now + TERM_HELD - TERM_FRESH for owner in self.held.values()
@@ -575,7 +575,7 @@
         is_new = self.reactor.seconds() - self._started_at < CONDITION_AGE
         if me.state not in (state, "leaving") and not (is_parted and is_new):
             self._node.puller.describe(replace(me, state=state))
-            self.log.event("memberParted" if is_parted else "memberRejoined")
+            self.log.info("member_partitioned" if is_parted else "member_rejoined")
 
     def _is_for_me(self, slot, live_ids):
         """The slot is for the first live one named for it. If that one is seen to live, but the slot stays
@@ -601,8 +601,8 @@
 
     async def _take_over(self, slot, live_ids, lapsed=False):
         believed = self.believed_owner(slot)
-        self.log.event(
-            "takeOverBegins",
+        self.log.info(
+            "failover_started",
             slot=slot,
             after=believed[1] if believed else "nobody",
             live=len(live_ids),
@@ -613,7 +613,7 @@
             released = None if lapsed else await self._ask_release(slot)
             await self._prepare_and_serve(slot, released)
         except OakrampError as error:
-            self.log.event("takeOverFailed", slot=slot, reason=error.reason)
+            self.log.warning("failover_failed", slot=slot, reason=error.reason)
             await sleep(self.reactor, self._node.random.uniform(0.1, 0.5))
         finally:
             self._taking.discard(slot)
@@ -627,7 +627,7 @@
         try:
             return await self._node.net.call(believed[2], "release", RELEASE_TIME, slot=slot)
         except OakrampError as error:
-            self.log.event("releaseUnanswered", slot=slot, owner=believed[1], reason=error.reason)
+            self.log.warning("shard_release_unanswered", slot=slot, owner=believed[1], reason=error.reason)
             return None
 
     def _next_epoch(self, slot, released_epoch):
@@ -652,7 +652,9 @@
         self.held[slot] = owner
         owner.serve()
         self.publish(owner, entries)
-        self.log.event("slotTaken", slot=slot, epoch=epoch, entries=len(entries), released=released_epoch or "no")
+        self.log.info(
+            "shard_leader_elected", slot=slot, epoch=epoch, entries=len(entries), released=released_epoch or "no"
+        )
 
     async def _ask_until_confirmed(self, owner, roster_version):
         """Asks for an owner's first term, again and again while voters pass to this roster. Under a later one nothing is
@@ -671,7 +673,7 @@
             return None
         owner.end()
         self._released_at[arguments.slot] = self.reactor.seconds()
-        self.log.event("slotReleased", slot=arguments.slot, epoch=owner.epoch)
+        self.log.info("shard_released", slot=arguments.slot, epoch=owner.epoch)
         return owner.epoch
 
     # --- news ---
@@ -751,10 +753,10 @@
             try:
                 failed = await owner.sweep()
             except OakrampError as error:
-                self.log.event("sweepFailed", slot=owner.slot, reason=str(error))
+                self.log.warning("cleanup_failed", slot=owner.slot, reason=str(error))
                 continue
             for key, error in failed:
-                self.log.event("sweepFailed", slot=owner.slot, key=key, reason=str(error))
+                self.log.warning("cleanup_failed", slot=owner.slot, key=key, reason=str(error))
 
 
 class CommandContext:
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -406,7 +406,9 @@
                 "members": [{"nodeId": one.node_id, "peer": one.peer} for one in chosen],
             },
         )
-        self._node.log.event("storeSetFormed", members=",".join(row["nodeId"] for row in record["members"]))
+        self._node.log.info(
+            "store_membership_bootstrapped", members=",".join(row["nodeId"] for row in record["members"])
+        )
         await self._tell(record)
 
     async def _mend(self, owner, record):
@@ -427,8 +429,8 @@
                     "joining": {"nodeId": joining.node_id, "peer": joining.peer},
                 },
             )
-        self._node.log.event(
-            "storeSetMended",
+        self._node.log.info(
+            "store_membership_repair_started",
             epoch=record["version"],
             leaving=record["leaving"] or "",
             joining=(record["joining"] or {}).get("nodeId", ""),
@@ -501,7 +503,7 @@
         if not await self._tell(record):
             return None
         record = await owner.do(STORES_KEY, "advance", {"basedOn": record["version"]})
-        self._node.log.event("storeSetMoved", epoch=record["version"], phase=record["phase"])
+        self._node.log.info("store_membership_changed", epoch=record["version"], phase=record["phase"])
         if record["phase"] == STABLE:
             await self._tell(record)
         return record
@@ -541,7 +543,7 @@
         ids = [node_id for node_id in prunable if node_id not in used]
         if ids:
             await owner.do(STORES_KEY, "prune", {"basedOn": stores.epoch, "ids": ids})
-            self._node.log.event("storeIdsPruned", ids=",".join(ids))
+            self._node.log.info("store_ids_pruned", ids=",".join(ids))
 
 
 async def stores_shown(node, record):
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -112,7 +112,7 @@
         for table in self._tables.values():
             table.measure()
         if leftovers:
-            self._log.event("imageLeftovers", entries=len(leftovers))
+            self._log.info("snapshot_leftovers_removed", entries=len(leftovers))
             spawn(self._remove(leftovers), self._log)
 
     async def _remove(self, keys):
@@ -168,7 +168,9 @@
             if former is None or self.roster.version != former.version + 1 or self.roster.next is None:
                 self._count_from_now()
             self._forget_former_roster()
-            self._log.event("rosterSet", version=self.roster.version, members=len(self.roster.everyone))
+            self._log.info(
+                "voting_configuration_stored", version=self.roster.version, members=len(self.roster.everyone)
+            )
 
     def _forget_former_roster(self):
         """While the roster is new, who was left out of it may still hold a term; that outlasts a restart of this process."""
@@ -369,7 +371,7 @@
             raise
         table.entries = SortedDict(image)
         table.measure()
-        self._log.event("imageReplaced", slot=slot, entries=len(image), generation=generation)
+        self._log.info("snapshot_installed", slot=slot, entries=len(image), generation=generation)
         await self._remove(former)
 
     async def _write(self, slot, table, changed, **head):
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -218,7 +218,7 @@
         while roster is not None and roster.next is not None and owner.holds_term():
             if all(self._slot_roster(slot) >= roster.version for slot in range(SLOTS)) and await self._is_stood(roster):
                 record = await owner.do(ROSTER_KEY, "advance", {"basedOn": roster.version})
-                self._node.log.event("rosterMoved", version=record["version"])
+                self._node.log.info("voting_configuration_changed", version=record["version"])
                 return
             await sleep(self._node.reactor, ROSTER_MOVING_PAUSE)
             roster = self._voter.roster
@@ -289,8 +289,8 @@
         ):
             return
         record = await owner.do(ROSTER_KEY, "reconfigure", {"basedOn": roster.version, "next": wanted})
-        node.log.event(
-            "rosterMended",
+        node.log.info(
+            "voting_configuration_repair_started",
             version=record["version"],
             leaving=",".join(sorted(roster.members.keys() - wanted)),
             joining=",".join(sorted(wanted.keys() - roster.members)),
--- a/packages/gateway/oakramp/gateway/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -272,7 +272,7 @@
             return
         pause = min(EJECT_LONGEST, EJECT_PAUSE * 2 ** max(0, instance.failures - EJECT_AFTER))
         instance.closed_until = now + pause
-        self._log.event("replicaEjected", replica=instance.row["id"], failures=instance.failures, seconds=pause)
+        self._log.info("replica_ejected", replica=instance.row["id"], failures=instance.failures, seconds=pause)
 
     def shown(self):
         """Counts for the condition page."""
--- a/packages/gateway/oakramp/gateway/forwarding.py
+++ b/packages/gateway/oakramp/gateway/forwarding.py
@@ -41,8 +41,8 @@
                     raise _at_least(unsure, error) from error
                 if error.verdict is not Verdict.NO:
                     unsure = error
-                self._node.log.event(
-                    "carryRetried",
+                self._node.log.info(
+                    "forward_retried",
                     replica=replica.row["id"],
                     reason=error.reason,
                     request=request.body["request"],
--- a/packages/gateway/oakramp/gateway/load_balancer.py
+++ b/packages/gateway/oakramp/gateway/load_balancer.py
@@ -127,7 +127,7 @@
             if any(
                 type(load.get(name)) is not int or load[name] < low for name, low in (("running", 0), ("capacity", 1))
             ):
-                self._node.log.event("describeUnreadable", replica=replica_id)
+                self._node.log.warning("replica_description_unreadable", replica=replica_id)
                 return
             replica.running, replica.capacity, replica.own_then = load["running"], load["capacity"], own
             replica.gates = max(1, len(self._node.members.live("gate")))
@@ -136,7 +136,7 @@
             replica.described_at = self._reactor.seconds()
             self._dispatch_all()
         except OakrampError as error:
-            self._node.log.event("describeFailed", replica=replica_id, reason=error.reason)
+            self._node.log.warning("replica_description_failed", replica=replica_id, reason=error.reason)
         finally:
             self._describing.discard(replica_id)
 
--- a/packages/gateway/oakramp/gateway/outliers.py
+++ b/packages/gateway/oakramp/gateway/outliers.py
@@ -148,7 +148,7 @@
         try:
             counts = {str(name): int(count) for name, count in json.loads(value).items()}
         except (ValueError, TypeError, AttributeError) as error:
-            self._log.event("faultsUnreadable", source=source, error=repr(error))
+            self._log.warning("fault_report_unreadable", source=source, error=repr(error))
             return
         self._told[source] = counts
 
@@ -189,8 +189,8 @@
     def _say(self, service, found, faults):
         if found != self._said.get(service, frozenset()):
             self._said[service] = found
-            self._log.event(
-                "outliers",
+            self._log.info(
+                "outliers_changed",
                 service=service,
                 replicas=",".join(sorted(found)) or "none",
                 faults=",".join(str(faults[name]) for name in sorted(found)) or "none",
--- a/packages/gateway/oakramp/gateway/prefix_placement.py
+++ b/packages/gateway/oakramp/gateway/prefix_placement.py
@@ -46,7 +46,7 @@
             }
         except (ValueError, TypeError, AttributeError) as error:
             self._plans = {}
-            self._node.log.event("evictionPlanUnreadable", error=repr(error))
+            self._node.log.warning("eviction_plan_unreadable", error=repr(error))
 
     def allowed(self, service, tenant):
         """The ids of the replicas that this tenant's requests should go to, or None if any will do."""
--- a/packages/gateway/oakramp/gateway/proxy.py
+++ b/packages/gateway/oakramp/gateway/proxy.py
@@ -50,8 +50,8 @@
                 exchange.abort()
                 return
             if error.verdict is not Verdict.NO:
-                self._log.event(
-                    "relayFailed",
+                self._log.warning(
+                    "proxied_request_failed",
                     code=error.code,
                     reason=error.reason,
                     verdict=error.verdict.value,
--- a/packages/gateway/oakramp/gateway/proxy_idempotency.py
+++ b/packages/gateway/oakramp/gateway/proxy_idempotency.py
@@ -73,7 +73,7 @@
         try:
             await within(self._reactor, max(0.05, passage.ends_at - self._reactor.seconds()), shielded(work))
         except OakrampError as error:
-            self._log.event("claimLate", command=command, reason=error.reason)
+            self._log.warning("idempotency_claim_late", command=command, reason=error.reason)
 
     def _pass_kept(self, passage, kept):
         if kept is None:
--- a/packages/gateway/oakramp/gateway/routing.py
+++ b/packages/gateway/oakramp/gateway/routing.py
@@ -97,7 +97,7 @@
         except Exception as error:
             # Nothing may be carried by an older table, so nothing is carried at all.
             self._unreadable = version
-            self._node.log.event("routingUnreadable", version=version, error=repr(error))
+            self._node.log.warning("routing_unreadable", version=version, error=repr(error))
 
     def _take(self, version, table):
         made = {
@@ -112,7 +112,7 @@
         self._made = made
         self.version, self.routes, self.services, self.limits = version, routes, table["services"], table["limits"]
         self._unreadable = None
-        self._node.log.event("routingInForce", version=version, routes=len(routes))
+        self._node.log.info("routing_applied", version=version, routes=len(routes))
 
     def find(self, host, path):
         """The route of a request by its host and path, or None."""
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -222,7 +222,7 @@
         try:
             await within(self._reactor, SETTLE_WAIT, shielded(settling))
         except OakrampError as error:
-            self._node.log.event("settlingLate", turn=fields["turnKey"], reason=error.reason)
+            self._node.log.warning("spend_report_late", turn=fields["turnKey"], reason=error.reason)
         fields["stream"].end(turn=body["turnId"], units=reader.units)
 
     async def _carry(self, request):
--- a/packages/gossip/oakramp/gossip/daemon.py
+++ b/packages/gossip/oakramp/gossip/daemon.py
@@ -61,7 +61,7 @@
             env = self._source.read()
         except SettingsError as error:
             if error.detail != self._faults:
-                log.event("envUnreadable", faults="; ".join(error.detail))
+                log.warning("settings_unreadable", faults="; ".join(error.detail))
             self._faults = error.detail
             return
         self._faults = None
@@ -70,7 +70,7 @@
         changed = sorted(name for name in env.keys() | self.env.keys() if env.get(name) != self.env.get(name))
         self.env = env
         set_level(env.get("logLevel") or LEVELS[0])
-        log.event("envChanged", changed=",".join(changed))
+        log.info("settings_changed", changed=",".join(changed))
         self._node.node.settings_changed(env)
 
 
--- a/packages/gossip/oakramp/gossip/damaged_node.py
+++ b/packages/gossip/oakramp/gossip/damaged_node.py
@@ -31,7 +31,7 @@
 
     def start(self):
         self._web.listen()
-        self.log.event("diskDamaged", folder=self._env["folder"], reason=self._reason)
+        self.log.info("disk_damaged", folder=self._env["folder"], reason=self._reason)
 
     async def stop(self):
         await self._web.stop()
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -86,7 +86,7 @@
         try:
             return Member.from_json(json.loads(about))
         except (ValueError, TypeError, KeyError) as error:
-            self._log.event("memberUnreadable", source=source, error=repr(error))
+            self._log.warning("member_unreadable", source=source, error=repr(error))
             return None
 
     async def _serve_pull(self, peer, arguments):
@@ -171,7 +171,7 @@
         try:
             self._identity.learn(addresses)
         except OSError as error:
-            self._log.event("addressesNotKept", error=repr(error))
+            self._log.info("addresses_not_saved", error=repr(error))
 
     async def _pull_from(self, address):
         self._pulling.add(address)
@@ -180,16 +180,16 @@
             if news.cluster_id and not self._net.cluster_id and self._identity.founding is None:
                 self._identity.join_cluster(news.cluster_id)
                 self._net.join_cluster(news.cluster_id)
-                self._log.event("joinedCluster", cluster_id=news.cluster_id, through=address)
+                self._log.info("cluster_joined", cluster_id=news.cluster_id, through=address)
             self._board.merge(news, seen, asked_at)
             self._answered_at[address] = asked_at
             if address in self._silent:
                 self._silent.discard(address)
-                self._log.event("pullAnswered", address=address)
+                self._log.info("gossip_peer_answered", address=address)
         except OakrampError as error:
             if address not in self._silent:
                 self._silent.add(address)
-                self._log.event("pullFailed", address=address, reason=error.reason)
+                self._log.warning("gossip_pull_failed", address=address, reason=error.reason)
         finally:
             self._pulling.discard(address)
 
--- a/packages/gossip/oakramp/gossip/node.py
+++ b/packages/gossip/oakramp/gossip/node.py
@@ -30,7 +30,7 @@
         if abs(offset - self._offset) > CLOCK_JUMP:
             self.jumps += 1
             self.last_jump = offset - self._offset
-            self._log.event("wallClockJumped", seconds=self.last_jump)
+            self._log.info("wall_clock_jumped", seconds=self.last_jump)
         self._offset = offset
 
 
@@ -91,13 +91,13 @@
         self.net.listen()
         self.wall_clock.repeater.start()
         self.puller.start()
-        self.log.event(
-            "nodeUp",
+        self.log.info(
+            "node_started",
             id=self.node_id,
             peer=self.env["peer"],
             http=self.env["http"],
             cluster=self.identity.cluster_id or "none",
-            newIdentity=self.identity.is_new,
+            new_identity=self.identity.is_new,
         )
 
     async def stop(self):
@@ -106,4 +106,4 @@
         await self.net.stop()
         if self.disk is not None:
             self.disk.close()
-        self.log.event("nodeDown")
+        self.log.info("node_stopped")
--- a/packages/http_proxy/oakramp/http_proxy/downstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/downstream.py
@@ -147,7 +147,7 @@
                 if not self._read_head():
                     break
         except MalformedMessageError as fault:
-            self.front.log.event("requestMalformed", reason=str(fault))
+            self.front.log.info("request_malformed", reason=str(fault))
             self._refuse(400)
         finally:
             self._advancing = False
@@ -220,7 +220,7 @@
             try:
                 pieces = self._decoder.feed(data)
             except MalformedMessageError as fault:
-                self.front.log.event("requestMalformed", reason=str(fault))
+                self.front.log.info("request_malformed", reason=str(fault))
                 self._refuse(400)
                 return
             done, rest = self._decoder.done, self._decoder.rest
--- a/packages/http_proxy/oakramp/http_proxy/listener.py
+++ b/packages/http_proxy/oakramp/http_proxy/listener.py
@@ -64,7 +64,7 @@
         """Above the limit of connections the one that has been idle longest makes room, or the new one goes."""
         self.callers[caller] = None
         if len(self.callers) > self.callers_limit:
-            self.log.event("callersLimit", connections=len(self.callers))
+            self.log.info("connection_limit_reached", connections=len(self.callers))
             idlest = next(one for one in self.callers if one.is_idle)  # the new one is idle too
             if idlest is caller:
                 caller.transport.abortConnection()
@@ -99,7 +99,7 @@
             self.body_bytes -= len(exchange.body)
 
     def _crashed(self, exchange, error):
-        self.log.event("exchangeCrashed", path=exchange.path, error=repr(error))
+        self.log.error("exchange_crashed", path=exchange.path, error=repr(error))
         if exchange.finished or exchange.is_gone:
             return
         if exchange.begun:
@@ -108,7 +108,7 @@
         try:
             self._on_crash(exchange, error)
         except Exception as second:
-            self.log.event("exchangeCrashed", path=exchange.path, error=repr(second))
+            self.log.error("exchange_crashed", path=exchange.path, error=repr(second))
             exchange.abort()
 
     async def stop(self, grace_s):
--- a/packages/rpc/oakramp/rpc/endpoint.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -113,8 +113,11 @@
             answer.errback(OutcomeUnknownError("connection lost before the answer"))
 
     def _drop(self, why, **pairs):
-        self._net.log.event(
-            "peerClosed", why=why, peer=self.peer.node_id if self.peer else self.transport.getPeer().host, **pairs
+        self._net.log.info(
+            "peer_connection_closed",
+            why=why,
+            peer=self.peer.node_id if self.peer else self.transport.getPeer().host,
+            **pairs,
         )
         self.transport.abortConnection()
 
@@ -218,7 +221,7 @@
             self._answer(idl.Frame(call_id=frame.call_id, body=body))
             return
         if not isinstance(error, OakrampError):
-            self._net.log.event("callCrashed", method=frame.method, error=repr(error))
+            self._net.log.error("rpc_handler_crashed", method=frame.method, error=repr(error))
             error = OakrampError(f"{frame.method} crashed")
         self._answer_error(frame, error)
 
@@ -246,7 +249,7 @@
 
     def buildProtocol(self, address):
         if len(self._net.connections) >= ACCEPT_LIMIT:
-            self._net.log.event("peerRefused", why="tooMany", peer=address.host)
+            self._net.log.info("peer_connection_rejected", why="tooMany", peer=address.host)
             return None
         connection = Connection(self._net)
         connection.ready.addErrback(lambda _: None)  # only the dialling side waits for it
--- a/packages/storage/oakramp/storage/circular_log.py
+++ b/packages/storage/oakramp/storage/circular_log.py
@@ -274,7 +274,7 @@
         if self._laps[-1] + 1 not in torn_laps:
             left_over |= self._refuse_lost_head(self._laps[-1] + 1)
         for lap, (offset, end) in left_over.items():
-            self._log.event("ringTornTail", file=self._file_name(lap), offset=offset)
+            self._log.warning("log_tail_torn", file=self._file_name(lap), offset=offset)
             self._disk.write(self._file_name(lap), offset, bytes(end - offset))
         # A process that died without a power cut left writes that look whole but may not last yet.
         self._disk.sync_now(file_names)
@@ -349,7 +349,7 @@
         mark, lap, length, *_ = RECORD.unpack(place)
         is_other_record = mark == RECORD_MARK and lap == self._laps[-1] & 0xFFFFFFFF and length > 0
         if not is_other_record:
-            self._log.event("ringMarkerLost", file=self._file_name(self._laps[-1]), offset=self._offset)
+            self._log.warning("log_marker_lost", file=self._file_name(self._laps[-1]), offset=self._offset)
         return not is_other_record
 
     def _replay(self, lap, data):
@@ -454,7 +454,7 @@
                 await self._write_batch(batch)
             except Exception as error:  # a disk that failed once is not trusted again
                 self.broken = error
-                self._log.event("ringFailed", error=repr(error))
+                self._log.warning("log_write_failed", error=repr(error))
                 batch += self._waiting
                 self._waiting.clear()
             for _, size, fired in batch:
--- a/packages/store/oakramp/store/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -148,7 +148,7 @@
             try:
                 await self.pull_chains(store, [missing])
             except OakrampError as error:
-                self._node.log.event("chainNotBrought", member=store.node_id, reason=error.reason)
+                self._node.log.info("history_not_fetched", member=store.node_id, reason=error.reason)
         if self._records.chain(turn_id)[1] is not None:
             return False
         if turn_id is not None:
--- a/packages/store/oakramp/store/store_client.py
+++ b/packages/store/oakramp/store/store_client.py
@@ -90,7 +90,7 @@
         failing = self._failing.get(node_id)
         if failing is None:
             self._failing[node_id] = _Failing(now, now + self._drawn(STORE_HOLD_FIRST), STORE_HOLD_FIRST)
-            self._node.log.event("storeFailed", store=node_id, reason=error.reason)
+            self._node.log.warning("store_calls_failing", store=node_id, reason=error.reason)
         elif began >= failing.since:  # else one of several that were under way together
             failing.pause = min(2 * failing.pause, STORE_HOLD_MOST)
             failing.since, failing.until = now, now + self._drawn(failing.pause)
@@ -102,4 +102,4 @@
     def _works(self, node_id):
         failing = self._failing.pop(node_id, None)
         if failing is not None:
-            self._node.log.event("storeAnswers", store=node_id, heldBack=failing.held_back)
+            self._node.log.info("store_calls_recovered", store=node_id, held_back=failing.held_back)
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -345,7 +345,7 @@
                 await self._anti_entropy.compare(StoreAddress(node_id, peer))
                 self._covered_from.add(node_id)
             except OakrampError as error:
-                self._log.event("sweepFailed", member=node_id, reason=error.reason)
+                self._log.warning("cleanup_failed", member=node_id, reason=error.reason)
         # Every write quorum of the old set has a member among so many of them.
         needed = len(self.stores.members) - majority(self.stores.members) + 1
         copied_from = self._covered_from & self.stores.members.keys()
@@ -360,7 +360,7 @@
     async def _cover(self, since):
         await self._ring.commit([(COVERS, b"%d" % since)])
         self._covers_since = since
-        self._log.event("storeCovers", since=since, lines=len(self.table.rows))
+        self._log.info("store_caught_up", since=since, lines=len(self.table.rows))
 
     async def _hand_over(self, node_id, peer):
         for key in list(islice(self._hints.get(node_id, ()), SWEEP_HINTS)):
@@ -440,7 +440,7 @@
 
     async def _start_over(self):
         disk = self._parts[2]
-        self.node.log.event("storeStartsOver", id=self.node.node_id)
+        self.node.log.info("store_started_over", id=self.node.node_id)
         disk.replace(EMPTYING, b"")
         self.store.stop()
         await self.web.stop()
--- a/packages/testbed/oakramp/testbed/commands.py
+++ b/packages/testbed/oakramp/testbed/commands.py
@@ -12,7 +12,6 @@
 from twisted.python.failure import Failure
 
 from oakramp.common.errors import OakrampError
-from oakramp.common.structured_logging import stderr_sink
 from oakramp.common.tasks import monotonic_reactor, settled, sleep, spawn
 from oakramp.control.shard_client import ShardClient
 from oakramp.control.shards import slot_of_key
@@ -132,8 +131,7 @@
     def __init__(self, reactor, folder, seed):
         self.reactor, self.random = reactor, random.Random(seed)
         self.fleet = Fleet(folder, "brief")
-        self.node = Node(reactor, "gate", env_of(CLIENT, self.fleet.machines), self.random, stderr_sink())
-        self.node.log.event = lambda *_, **__: None
+        self.node = Node(reactor, "gate", env_of(CLIENT, self.fleet.machines), self.random, lambda _record: None)
         self.client = ShardClient(self.node)
         self._numbers = count(1)
         self.failed = Counter()
--- a/packages/testbed/oakramp/testbed/explore/network.py
+++ b/packages/testbed/oakramp/testbed/explore/network.py
@@ -77,7 +77,7 @@
     def failed(failure):
         error = failure.value
         if not isinstance(error, OakrampError):
-            process.log.event("callCrashed", method=method, error=repr(error), trace=failure.getTraceback())
+            process.log.error("rpc_handler_crashed", method=method, error=repr(error), trace=failure.getTraceback())
             error = OakrampError(f"{method} crashed")
         ended(None, error)
 
--- a/packages/testbed/oakramp/testbed/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -93,8 +93,11 @@
     def __init__(self, world, name):
         self._world, self._name = world, name
 
-    def event(self, event_name, **pairs):
-        self._world.logged(self._name, event_name, pairs)
+    def info(self, event, /, **fields):
+        """Notes an event in the timeline; levels make no difference there."""
+        self._world.logged(self._name, event, fields)
+
+    debug = warning = error = info
 
 
 class Process:
--- a/packages/testbed/oakramp/testbed/failover.py
+++ b/packages/testbed/oakramp/testbed/failover.py
@@ -162,8 +162,8 @@
     works = [spawn(order(), fleet.lab_log), spawn(turn(), fleet.lab_log)]
     for work in works:
         fleet.until(work, OUTAGE_LIMIT)
-    trial.noticed = _first_event(fleet, "takeOverBegins", slot_of_key(PLAN_KEY), failed_at)
-    trial.taken = _first_event(fleet, "slotTaken", slot_of_key(PLAN_KEY), failed_at)
+    trial.noticed = _first_event(fleet, "failover_started", slot_of_key(PLAN_KEY), failed_at)
+    trial.taken = _first_event(fleet, "shard_leader_elected", slot_of_key(PLAN_KEY), failed_at)
     return trial
 
 
@@ -201,7 +201,7 @@
         fleet.run(freeze)
         frozen.thaw()
         fleet.run(1.0 + fleet.random.uniform(0.0, 0.3))
-    return sum("event=takeOverBegins " in line for line in fleet.lines[since:])
+    return sum("event=failover_started " in line for line in fleet.lines[since:])
 
 
 def share(times, part):
