--- a/packages/cli/oakramp/cli/disk_check.py
+++ b/packages/cli/oakramp/cli/disk_check.py
@@ -8,7 +8,7 @@
 from oakramp.storage.disk_check import RING_FILE, check_ring
 from oakramp.store.store_node import EMPTYING
 
-WELL, WORTH_A_LOOK, DAMAGED = 0, 3, 4  # exit codes, as those of the doctor
+WELL, WORTH_A_POLL, DAMAGED = 0, 3, 4  # exit codes, as those of the doctor
 IDENTITY_FIELDS = "nodeId", "clusterId", "addresses"
 
 
@@ -18,7 +18,7 @@
     if not names:
         return WELL, ["the folder is empty: a start here is a new node"]
     if EMPTYING in names:
-        return WORTH_A_LOOK, ["the folder was being emptied: the next start goes on with that, and is a new node"]
+        return WORTH_A_POLL, ["the folder was being emptied: the next start goes on with that, and is a new node"]
     worst, lines = WELL, []
     for code, line in (*_identity(folder, names), *_ring(folder), *_others(names)):
         worst = max(worst, code)
@@ -48,7 +48,7 @@
 def _ring(folder):
     report = check_ring(folder)
     if report is None:
-        yield WORTH_A_LOOK, "ring: no file of it is there"
+        yield WORTH_A_POLL, "ring: no file of it is there"
         return
     for name, lap, first_number, synced_number in report.laps:
         yield WELL, f"ring: {name} holds lap {lap} from record {first_number} on; {synced_number} was synced before"
@@ -56,13 +56,13 @@
         yield DAMAGED, f"ring: DAMAGED: {report.damage}"
         return
     for note in report.notes:
-        yield WORTH_A_LOOK, f"ring: {note}"
+        yield WORTH_A_POLL, f"ring: {note}"
     yield WELL, f"ring: whole: {report.entries} entries, {report.live_bytes} bytes, up to record {report.newest_record}"
 
 
 def _others(names):
     for name in names:
         if name.endswith(UNFINISHED):
-            yield WORTH_A_LOOK, f"{name}: a write that was cut off; the next start removes it"
+            yield WORTH_A_POLL, f"{name}: a write that was cut off; the next start removes it"
         elif name != IDENTITY_FILE and not RING_FILE.fullmatch(name):
-            yield WORTH_A_LOOK, f"{name}: no file of a node"
+            yield WORTH_A_POLL, f"{name}: no file of a node"
--- a/packages/cli/oakramp/cli/doctor.py
+++ b/packages/cli/oakramp/cli/doctor.py
@@ -30,7 +30,7 @@
 
     nodes: list = field(default_factory=list)
     conditions: dict = field(default_factory=dict)
-    slots: list = field(default_factory=list)
+    shards: list = field(default_factory=list)
     stores: dict = field(default_factory=dict)
     replicas: dict = field(default_factory=dict)
     blueprints: dict = field(default_factory=dict)
@@ -53,7 +53,7 @@
     """`askControl(path)` gives a control node's answer; `askNode(address)` a node's /condition or a reason."""
     survey = Survey(ask_control("/v1/nodes")["nodes"])
     survey.conditions = {row["nodeId"]: ask_node(row["http"]) for row in survey.nodes}
-    survey.slots = ask_control("/v1/slots")["slots"]
+    survey.shards = ask_control("/v1/slots")["slots"]
     survey.stores = ask_control("/v1/stores")
     survey.replicas = ask_control("/v1/replicas")["replicas"]
     survey.placement = ask_control("/v1/placement")
@@ -164,8 +164,8 @@
 
 
 @CHECKS.enter("slots")
-def _slots(survey):
-    bad = [row["slot"] for row in survey.slots if row["owner"] is None or row["age"] > OWNERLESS]
+def _shards(survey):
+    bad = [row["slot"] for row in survey.shards if row["owner"] is None or row["age"] > OWNERLESS]
     if bad:
         yield Finding(
             FAULT,
@@ -178,12 +178,12 @@
 
 def _newest_members(survey):
     """The members of the newest roster that any control node stands in; empty if there is none."""
-    rosters = [said["roster"] for said in survey.answered("control") if said.get("roster")]
-    return max(rosters, key=lambda roster: roster["version"])["members"] if rosters else {}
+    voting_configs = [said["roster"] for said in survey.answered("control") if said.get("roster")]
+    return max(voting_configs, key=lambda voting_config: voting_config["version"])["members"] if voting_configs else {}
 
 
 @CHECKS.enter("roster")
-def _roster(survey):
+def _voting_config(survey):
     members = _newest_members(survey)
     if not members:
         return
--- a/packages/cli/oakramp/cli/main.py
+++ b/packages/cli/oakramp/cli/main.py
@@ -83,12 +83,12 @@
     for address, row in rows.items():
         if row["clusterId"] not in ("", None, cluster_id):
             raise CommandRefusedError(f"{address} belongs to cluster {row['clusterId']} already")
-    roster = {row["nodeId"]: row["peer"] for row in rows.values()}
+    voting_config = {row["nodeId"]: row["peer"] for row in rows.values()}
     for address in controls:
-        status, answer = ask(address, "POST", "/v1/init", {"clusterId": cluster_id, "roster": roster})
+        status, answer = ask(address, "POST", "/v1/init", {"clusterId": cluster_id, "roster": voting_config})
         if status != 200:
             raise CommandRefusedError(f"{address}: {answer.get('reason', status)}")
-    click.echo(f"control nodes: {len(roster)}")
+    click.echo(f"control nodes: {len(voting_config)}")
     members = _wait_for("the stores joining", lambda: _joined_stores(stores, cluster_id))
 
     def set_stores():
@@ -315,7 +315,9 @@
     member_ids = [row if isinstance(row, str) else row["nodeId"] for row in record["members"]]
     by_id = {row["nodeId"]: row for row in nodes}
     members = [by_id.get(node_id, {"nodeId": node_id, "machine": node_id.partition(".")[0]}) for node_id in member_ids]
-    newcomer = _named([row for row in nodes if row["nodeId"] not in member_ids and row["condition"] == "live"], joining)
+    joining_member = _named(
+        [row for row in nodes if row["nodeId"] not in member_ids and row["condition"] == "live"], joining
+    )
     answer = ask_first(
         controls,
         "POST",
@@ -323,7 +325,7 @@
         {
             "basedOn": record["version"],
             "leaving": _named(members, leaving)["nodeId"],
-            "joining": {"nodeId": newcomer["nodeId"], "peer": newcomer["peer"]},
+            "joining": {"nodeId": joining_member["nodeId"], "peer": joining_member["peer"]},
         },
         on_maybe=watch_with,
     )
@@ -331,25 +333,25 @@
 
 
 @main.group()
-def roster():
+def voting_config():
     """The control nodes whose disks vote."""
 
 
-@roster.command("show")
+@voting_config.command("show")
 @click.pass_context
-def show_roster(context):
+def show_voting_config(context):
     """Shows the roster, its version, and a replacement under way (`next`)."""
     show(ask_first(_controls(context), "GET", "/v1/roster"))
 
 
-@roster.command("replace")
+@voting_config.command("replace")
 @click.argument("leaving")
 @click.argument("joining")
 @click.pass_context
 def replace_member(context, leaving, joining):
     """Puts the empty control node JOINING in the place of LEAVING (also one that is lost).
 
-    Both by machine name or node id. Goes on by itself; see `oakrampctl roster show`.
+    Both by machine name or node id. Goes on by itself; see `oakrampctl voting_config show`.
     """
     _replace(context, "control", "/v1/roster", leaving, joining, "oakrampctl roster show")
 
--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -30,9 +30,9 @@
 RING_BATCH = 256  # commits; one sync covers this many at most, so that no commit waits long
 
 # --- cohort and news ---------------------------------------------------------
-COHORT_SIZE = 2  # members; of any kind, each node pulls from this many beside control nodes: two losses
+GOSSIP_PEER_COUNT = 2  # members; of any kind, each node pulls from this many beside control nodes: two losses
 # leave one
-COHORT_CONTROL = 1  # control nodes; that a node pulls from which is none itself; control nodes pull from all
+GOSSIP_CONTROL_PEER_COUNT = 1  # control nodes; that a node pulls from which is none itself; control nodes pull from all
 # others
 GONE_LIMIT = 256  # items; removed ones that an image remembers, so that deltas can name them
 PULL_PAUSE = 0.2  # s; two hops of it stay well below every freshness bound
@@ -45,27 +45,27 @@
 FRESH_POLL = 0.02  # s; how often a request waiting for fresh news looks again
 
 SEED_AGE = 30.0  # s; a seed without an answer for so long is reported; each is asked every few seconds
-CLOCK_LOOK = 5.0  # s; how often the wall clock is compared with the monotonic one
+CLOCK_POLL = 5.0  # s; how often the wall clock is compared with the monotonic one
 CLOCK_JUMP = 0.5  # s; a larger difference between two looks is reported as a jump
 
 # --- owned keys --------------------------------------------------------------
-SLOTS = 32  # slots; several for each of five owners, few enough to take over at once
-TERM = 0.8  # s; others wait this long after a majority confirmed an owner; answers take milliseconds
-TERM_HELD = 0.79  # s; an owner serves this long after asking a majority: a little less than TERM, since the two are
+SHARDS = 32  # slots; several for each of five owners, few enough to take over at once
+LEASE = 0.8  # s; others wait this long after a majority confirmed an owner; answers take milliseconds
+LEASE_HELD = 0.79  # s; an owner serves this long after asking a majority: a little less than TERM, since the two are
 # measured by clocks whose rates may differ, here by up to 12 in 1,000
-TERM_RENEW = 0.25  # s; three renewals fit into a term, so that one may be lost
-TERM_FRESH = 0.225  # s; a term confirmed on the way of a pull that left within this is not renewed by a call:
+LEASE_RENEW = 0.25  # s; three renewals fit into a term, so that one may be lost
+LEASE_FRESH = 0.225  # s; a term confirmed on the way of a pull that left within this is not renewed by a call:
 # above
 # PULL_PAUSE, or a call would go beside each pull; below TERM_RENEW, or each second renewal
 # by
 # calls would be left out where pulls carry none
-LEASE_LAPSED = 0.9  # s; a lease that a majority has not confirmed for so long is over, and its slot is taken over:
-# above TERM, and above the longest pause of an owner that froze for half a second: 0.5 s, PULL_PAUSE and the way
-LAPSE_LOOK = 0.05  # s; how often a member looks for such slots in its own voter: a small part of LEASE_LAPSED
-LAPSE_ASK_TIME = 0.4  # s; a voter that takes longer to say so is not waited for
+LEASE_EXPIRED = 0.9  # s; a lease that a majority has not confirmed for so long is over; its shard fails over:
+# above LEASE, and above the longest pause of an owner that froze for half a second: 0.5 s, PULL_PAUSE and the way
+EXPIRY_POLL = 0.05  # s; how often a member looks for such slots in its own voter: a small part of LEASE_EXPIRED
+EXPIRY_QUERY_TIME = 0.4  # s; a voter that takes longer to say so is not waited for
 SUSPECT_SILENT = 0.6  # s; who has answered within this is not passed over for a lapsed lease: two pulls with their way,
 # and less than from an owner's end until its lease counts as lapsed, which is LEASE_LAPSED - PULL_PAUSE at least
-STEP_IN_TIME = 1.5  # s; one candidate's turn at a slot without owner, the first one's too: time for a look,
+CANDIDATE_TURN_TIME = 1.5  # s; one candidate's turn at a slot without owner, the first one's too: time for a look,
 # the wait for the former term, and the news of it to get round
 RELEASE_TIME = 0.4  # s; a former owner that does not give a slot up in this time has its term waited out
 OWNER_TRY_TIME = 0.7  # s; an owner that takes longer is asked again, or whoever took its slots over
@@ -73,30 +73,30 @@
 # that the asker hears of it
 OWNER_LEFT_PAUSE = 0.02  # s; once news name another owner, one that was asked is waited for so long: its answer may be
 # on its way, for which a round trip within a region is enough; leaving it is as safe as a call that times out
-TAKEOVER_LOOK = 0.25  # s; how often a control node compares owned slots with the live members
-CONTROL_INBOX = 1024  # commands; a slot with more waiting answers that it is overloaded
-IMAGE_PART = 256 << 10  # bytes; one message of a slot's image, packed well within a term
+FAILOVER_POLL = 0.25  # s; how often a control node compares owned slots with the live members
+CONTROL_QUEUE_LIMIT = 1024  # commands; a slot with more waiting answers that it is overloaded
+SNAPSHOT_PART = 256 << 10  # bytes; one message of a slot's image, packed well within a term
 CONTROL_FULL = 0.7  # share of a ring's capacity; from here on nothing new is opened, admitted or claimed
-SLOT_FULL = 0.25  # share of a ring's capacity; one slot may take it, so that its image fits a second time
+SHARD_FULL = 0.25  # share of a ring's capacity; one slot may take it, so that its image fits a second time
 CONTROL_BATCH = 64  # commands; one majority write covers this many at most
 UPDATE_LIMIT = 1 << 20  # bytes; of changes gathered for a voter that is behind, one message: beyond it gets an image
 UNANSWERED_STEPS = 4  # steps; a voter that leaves more unanswered gets no more of them, but an update when it is back
-VOTERS_LOOK = 0.5  # s; how often an owner looks which voters lack something: far longer than a step takes
+VOTERS_POLL = 0.5  # s; how often an owner looks which voters lack something: far longer than a step takes
 OUTRANKED_PATIENCE = 2.0  # s; a voter above the epoch for so long has its slot taken over anew: a take-over is shorter
 STEP_PAUSE = 0.002  # s; a step waits so long at most for the answer to the one before, so that both go in one
 # call
 REJOIN = 4.0  # s; a machine that is back, or new, takes part in full within this, since the next may be lost then;
 # holds where a deployment's bound `rejoin_s` does not say otherwise
-ROSTER_PAUSE = 0.25  # s; how often control nodes look at the roster: a small part of what mending it takes
-ROSTER_MOVING_PAUSE = 0.05  # s; the same for who moves a change of the roster on, while it is under way
-ROSTER_MOST = 9  # members; four may be lost at once, and more voters only make each change dearer
-ROSTER_ANSWERED = 1.0  # s; who joins must have answered within this: several pulls, of which one may be lost
-ROSTER_HEARD = 0.5  # s; a member that has not answered for this long may be gone: two pulls at least. As long
+VOTING_CONFIG_PAUSE = 0.25  # s; how often control nodes look at the roster: a small part of what mending it takes
+VOTING_CONFIG_MOVING_PAUSE = 0.05  # s; the same for who moves a change of the roster on, while it is under way
+VOTING_CONFIG_MOST = 9  # members; four may be lost at once, and more voters only make each change dearer
+VOTING_CONFIG_ANSWERED = 1.0  # s; who joins must have answered within this: several pulls, of which one may be lost
+VOTING_CONFIG_HEARD = 0.5  # s; a member that has not answered for this long may be gone: two pulls at least. As long
 # as
 # one may be, its place is kept free for who comes, instead of adding to the members
-ROSTER_JOINING = 0.75  # s; a newcomer is watched for this long before it adds to the members: a bit longer than
+VOTING_CONFIG_JOINING = 0.75  # s; a newcomer is watched for this long before it adds to the members: a bit longer than
 # ROSTER_HEARD, since it may have come for one that was lost at that moment
-ROSTER_PATIENCE = 3.0  # s; a member without a sign of life for this long gives its place to an outsider: longer
+VOTING_CONFIG_PATIENCE = 3.0  # s; a member without a sign of life for this long gives its place to an outsider: longer
 # than
 # a restart with its disk takes, shorter than until the next loss may come
 OWNER_TRIES_PAUSE = 0.1  # s; between asking for an owner again while a slot is changing hands
@@ -118,7 +118,7 @@
 # what is older gets no clear answer, and is never refused
 LOG_LINE_LIMIT = 8192  # characters; of a log line, so that one odd value cannot flood a log
 OPERATOR_LIMIT = 5 << 20  # bytes; a body from the operator: a document of 4 MiB with room for what is around it
-OPERATOR_INBOX = 64  # calls; of operators at one node at a time, repeats of what they left under way included
+OPERATOR_QUEUE_LIMIT = 64  # calls; of operators at one node at a time, repeats of what they left under way included
 OPERATOR_TIME = 4.0  # s; a take-over fits; an operator asks elsewhere after a second, and its repeats do no harm
 OPERATOR_ANSWER_AGE = 4.5  # s; an answer that is ready so long after its call was held up by a freeze: asking takes
 # OPERATOR_TIME at most, and the rest milliseconds
@@ -139,8 +139,8 @@
 # rule's
 # minute after it: CLAIM_KEPT - CLAIM_LEAVE is above a minute
 CLAIM_ANSWER_LIMIT = 64 << 10  # bytes; larger answers are not kept, only the fact that they were given
-OWNER_SWEEP = 1.0  # s; how often an owner lets old things of each slot go, a page at a time
-OWNER_SWEEP_KEYS = 32  # keys; in one such page
+OWNER_CLEANUP = 1.0  # s; how often an owner lets old things of each slot go, a page at a time
+OWNER_CLEANUP_KEYS = 32  # keys; in one such page
 ENDING_MARKS = 128  # marks; of a program that has ended, let go in one step
 ENDS_AFTER_LEAST = 60.0  # s; a plan may not end programs that were in use within the last minute
 ENDS_AFTER_MOST = 2592000.0  # s; a month, longer than any line is kept
@@ -151,11 +151,11 @@
 # written
 # within about the last minute, which is nearly all that is read
 STORE_OWNERS = 16  # table owners in a store; lines are spread over them by hash
-STORE_INBOX = 256  # commands; waiting for one table owner of a store
+STORE_QUEUE_LIMIT = 256  # commands; waiting for one table owner of a store
 STORE_CALL_TIME = 1.0  # s; a store that takes longer is passed over for its fellows
 STORE_HOLD_FIRST = 0.05  # s; a gate leaves a store that just failed alone for about this long: one round of a request
 STORE_HOLD_MOST = 0.5  # s; the same for one that goes on failing: well below what a request may wait
-STORES_LOOK = 0.2  # s; how often the owner of the store set looks whether a replacement has to begin or can go
+STORES_POLL = 0.2  # s; how often the owner of the store set looks whether a replacement has to begin or can go
 # on
 STORES_MOVING_PAUSE = 0.05  # s; the same while a replacement is under way
 STORES_ASK = 0.5  # s; a store that takes longer to say how far it is, is asked again
@@ -167,7 +167,7 @@
 # looks, the phases, and the copy
 STORES_LEAVING_TIME = 3.0  # s; a store that is told to end serves on for so long at most, until a spare has its place:
 # with the rest of a planned stop well within the grace that a process has
-STORES_LEAVING_LOOK = 0.05  # s; how often it looks whether that is so
+STORES_LEAVING_POLL = 0.05  # s; how often it looks whether that is so
 CONTACT_GAP = 1.0  # s; between two looks at who answers: four of them; a longer gap means that the process was frozen
 VIEW_AGE = 7.5  # s; a control node in touch with a majority for so long knows who is silent: a store's patience, and
 # CONDITION_AGE more, since a majority may have stopped answering so long before that is noticed
@@ -176,12 +176,12 @@
 # meanwhile
 PRUNE_PAUSE = 1.0  # s; how often the owner of the store set asks whether ids of retired stores are still in
 # use
-SWEEP_BUCKETS = 64  # buckets of lines; their sums fit one small message, and one holds few lines
+CLEANUP_BUCKETS = 64  # buckets of lines; their sums fit one small message, and one holds few lines
 COPY_PAGE_TURNS = 512  # turns; asked for in one message
 STORE_COPY_PAUSE = 0.1  # s; the same for a store that has not copied all yet
-STORE_SWEEP = 1.0  # s; pause between rounds of hand-over and anti-entropy
-SWEEP_HINTS = 64  # lines; handed over to one member in one round, so that others get their turn
-SWEEP_KEYS = 256  # lines; compared in one anti-entropy message
+STORE_CLEANUP = 1.0  # s; pause between rounds of hand-over and anti-entropy
+CLEANUP_HINTS = 64  # lines; handed over to one member in one round, so that others get their turn
+CLEANUP_KEYS = 256  # lines; compared in one anti-entropy message
 HINT_LIMIT = 20000  # lines; beyond this anti-entropy alone finds what a missing store lacks
 LINE_KEPT = 900.0  # s; well over the rule's minute after the last turn finished
 LINE_KEPT_FULL = 150.0  # s; the same when the ring is nearly full, still over twice the rule's minute
@@ -189,12 +189,12 @@
 # keep
 FULL_KNOWN = 2.0  # s; so long a gate takes a store's word that it has no room
 FULL_SHARE = 0.7  # share of a ring's capacity; from here on a store lets lines go sooner
-RECALL_KEPT = 30.0  # s; a turn that was just read is kept for the turn that goes on from it to be kept too
+READ_HISTORY_KEPT = 30.0  # s; a turn that was just read is kept for the turn that goes on from it to be kept too
 RECORD_KEPT_MOST = 900.0  # s; a turn's record is kept for at most this without word of it, as lines are
 RETAIN_MARGIN = 15.0  # s; added to what a turn is to be kept: for the way of the request that goes on from it
 RECORDS_DROPPED = 512  # records; let go in one round at most, so that others get their turn
 RECORD_PAGE = 512 << 10  # bytes; of records in one message, far below the frame limit, a few milliseconds of work
-RECALL_HEDGE = 0.04  # s; a store that takes longer to answer a read is no longer waited for alone
+READ_HISTORY_HEDGE = 0.04  # s; a store that takes longer to answer a read is no longer waited for alone
 LATE_TIMES = 4  # times; an answer that takes so much longer than usual is late
 RETAIN_HEDGE = 0.12  # s; the same for a write, which waits for two disks
 LINE_TURNS = 512  # turns; a long session has about seven
@@ -206,8 +206,8 @@
 OUTPUT_LIMIT = 1 << 20  # bytes; one turn's whole output
 NAME_LIMIT = 128  # characters; names of partners, programs, lines, turns and keys
 UNITS_LIMIT = 1 << 40  # units; a spending limit above it is a mistake
-ACCEPT_INBOX = 1024  # requests; inside one gate at a time, above it the gate says overloaded
-PLACE_INBOX = 256  # requests; waiting for a replica in one gate, for each partner
+ACCEPT_QUEUE_LIMIT = 1024  # requests; inside one gate at a time, above it the gate says overloaded
+PLACE_QUEUE_LIMIT = 256  # requests; waiting for a replica in one gate, for each partner
 TIME_LEFT_DEFAULT = 120.0  # s; a whole turn, when the caller does not say
 TIME_LEFT_LIMIT = 600.0  # s; nothing waits longer than this
 IDLE_TIME = 20.0  # s; a replica silent between two pieces for this long is given up on
@@ -219,7 +219,7 @@
 PREFIX_CHARACTERS = 256  # characters; the common start that draws like prompts together
 SETTLE_WAIT = 2.0  # s; a finished turn's closing event waits this long for its settling
 SETTLE_TIME = 20.0  # s; one try of a gate to tell the owner what came out, and a planned stop's wait for all
-SETTLE_INBOX = 2048  # settlings; open in one gate at most: twice what it takes in at a time
+SETTLE_QUEUE_LIMIT = 2048  # settlings; open in one gate at most: twice what it takes in at a time
 FULL_RETRY = 60  # s; what a full fleet tells its caller: old things go in the order of minutes
 RETRY_AFTER = 1  # s; what an overloaded gate tells its caller
 REFUSED_PAUSE = 0.25  # s; a replica that said no counts as full this long
@@ -250,7 +250,7 @@
 OUTLIER_SHARE = 0.34  # share of a service's replicas; more are never left out
 OUTLIER_TELL = 0.4  # s; how often a gate tells of faults at most: two pulls' pauses, as each telling moves its
 # row
-LATE_LOOK = 0.1  # s; how often a gate looks for answers that are late
+LATE_POLL = 0.1  # s; how often a gate looks for answers that are late
 LATE_LEAST = 0.25  # s; no answer is late before: a prompt of some ten thousand tokens is read in less
 LATE_TIMES = 6.0  # times; the usual time to the head of an answer, after which one is late
 LATE_STEP = 0.05  # share; by so much the usual time follows each answer, up or down
@@ -275,7 +275,7 @@
 REFUSAL_LIMIT = 64 << 10  # bytes; of a replica's refusal, read to its end so that its connection may be kept
 TURN_OUTPUT_LIMIT = 4 << 20  # bytes; of one turn's output as it is kept
 STOP_MARGIN = 0.5  # s; a stop ends this long before the grace given by the env, so that it is never cut off
-ENV_LOOK = 1.0  # s; how often a changed settings file is looked for; a look is one call of the system
+ENV_POLL = 1.0  # s; how often a changed settings file is looked for; a look is one call of the system
 
 # --- relay -------------------------------------------------------------------
 CHUNK_LINE_LIMIT = 1024  # bytes; a chunk's size line with its extensions, as Twisted bounds it too
--- a/packages/common/oakramp/common/structured_logging.py
+++ b/packages/common/oakramp/common/structured_logging.py
@@ -108,8 +108,8 @@
 
     `line_format` is one of FORMATS. There is one handler however often this is called."""
     logger = logging.getLogger(LOGGER_NAME)
-    for former in list(logger.handlers):
-        logger.removeHandler(former)
+    for previous in list(logger.handlers):
+        logger.removeHandler(previous)
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(_FORMATTERS[line_format]())
     logger.addHandler(handler)
--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -2,7 +2,7 @@
 
 from schema import And
 
-from oakramp.common.constants import CALL_TIME, ROSTER_MOVING_PAUSE
+from oakramp.common.constants import CALL_TIME, VOTING_CONFIG_MOVING_PAUSE
 from oakramp.common.errors import BadRequestError, ConflictError, QuorumUnavailableError, RequestRejectedError
 from oakramp.common.settings import ADDRESS
 from oakramp.common.tasks import sleep
@@ -11,7 +11,7 @@
 from oakramp.control.quorum_contact import answers_now
 from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.store_membership import STORES_KEY, stores_shown
-from oakramp.control.voting_configuration import ROSTER_KEY, VotingConfiguration
+from oakramp.control.voting_configuration import VOTING_CONFIG_KEY, VotingConfiguration
 
 READ_TIME = 2 * CALL_TIME  # s; an owner may change once while an operator reads
 CHANGE_TIME = 4 * CALL_TIME  # s; a change outlasts one take-over before it is answered with maybe
@@ -29,13 +29,13 @@
         web.route("GET", "/v1/programs/{partner}/{program}", self._read_program)
         web.route("POST", "/v1/programs/{partner}/{program}/end", self._end_program)
         web.route("GET", "/v1/nodes", self._nodes)
-        web.route("GET", "/v1/slots", self._slots)
+        web.route("GET", "/v1/slots", self._shards)
         web.route("GET", "/v1/replicas", self._replicas)
         web.route("POST", "/v1/replicas/{id}/leaving", self._mark_leaving)
         web.route("GET", "/v1/placement", self._placement)
         web.route("GET", "/v1/stores", self._stores)
         web.route("PUT", "/v1/stores", self._set_stores)
-        web.route("GET", "/v1/roster", self._roster)
+        web.route("GET", "/v1/roster", self._voting_config)
         web.route("POST", "/v1/roster/replace", self._replace_member)
         web.route("POST", "/v1/stores/replace", self._replace_store)
         web.route("POST", "/v1/stores/cancel", self._cancel_store)
@@ -47,10 +47,10 @@
                 "clusterId": NAME,
                 "roster": And(
                     dict,
-                    lambda roster: (
-                        len(roster) % 2 == 1
-                        and all(map(NAME.validate, roster))
-                        and all(map(ADDRESS.validate, roster.values()))
+                    lambda voting_config: (
+                        len(voting_config) % 2 == 1
+                        and all(map(NAME.validate, voting_config))
+                        and all(map(ADDRESS.validate, voting_config.values()))
                     ),
                     error="must be an odd number of node ids with their addresses",
                 ),
@@ -58,19 +58,19 @@
             call.json(),
         )
         voter = self._control.voter
-        roster = {"version": 1, "members": body["roster"], "next": None}
+        voting_config = {"version": 1, "members": body["roster"], "next": None}
         if self._node.node_id not in body["roster"]:
             raise RequestRejectedError("this node is not named in the roster")
-        if voter.roster is not None and (voter.roster.record, self._node.identity.cluster_id) != (
-            roster,
+        if voter.voting_config is not None and (voter.voting_config.record, self._node.identity.cluster_id) != (
+            voting_config,
             body["clusterId"],
         ):
             raise ConflictError(
                 "this node belongs to a cluster already", detail={"clusterId": self._node.net.cluster_id}
             )
-        if voter.roster is None:
+        if voter.voting_config is None:
             # The roster first: a node with a roster and no cluster id takes part in nothing yet.
-            await voter.set_roster(roster)
+            await voter.set_voting_config(voting_config)
             self._node.identity.join_cluster(body["clusterId"])
             self._node.net.join_cluster(body["clusterId"])
             self._node.log.info("cluster_created", cluster_id=body["clusterId"], members=len(body["roster"]))
@@ -117,18 +117,18 @@
             ],
         }
 
-    async def _slots(self, _call):
-        owners = self._control.owners
-        rows = ((slot, owners.believed_owner(slot)) for slot in range(self._control.slot_count))
+    async def _shards(self, _call):
+        leaders = self._control.leaders
+        rows = ((shard, leaders.believed_owner(shard)) for shard in range(self._control.shard_count))
         return 200, {
             "slots": [
                 {
-                    "slot": slot,
+                    "slot": shard,
                     "epoch": row and row[0],
                     "owner": row and row[1],
-                    "age": row and round(min(self._node.board.age(f"slot/{slot}"), 1e9), 3),
+                    "age": row and round(min(self._node.state_table.age(f"slot/{shard}"), 1e9), 3),
                 }
-                for slot, row in rows
+                for shard, row in rows
             ]
         }
 
@@ -154,8 +154,8 @@
     async def _cancel_store(self, call):
         return await self._ask(STORES_KEY, "cancel", call.json(), CHANGE_TIME)
 
-    async def _roster(self, _call):
-        status, record = await self._ask(ROSTER_KEY, "read", {})
+    async def _voting_config(self, _call):
+        status, record = await self._ask(VOTING_CONFIG_KEY, "read", {})
         if record["next"] is None:
             await self._in_force(VotingConfiguration(record))
         members = self._node.members
@@ -165,33 +165,33 @@
             }
         }
 
-    async def _in_force(self, roster):
+    async def _in_force(self, voting_config):
         """Returns once a majority stands in this version. Before, a loss of members who do may leave the others in a version
         in which they are no majority, so the change is not told to be over."""
         ends_at = self._node.reactor.seconds() + READ_TIME
         members = self._node.members
         addresses = {
             node_id: known.peer if (known := members.find(node_id)) else peer
-            for node_id, peer in roster.members.items()
+            for node_id, peer in voting_config.members.items()
         }
-        while not await answers_now(self._node, addresses, roster, roster.version):
+        while not await answers_now(self._node, addresses, voting_config, voting_config.version):
             if self._node.reactor.seconds() >= ends_at:
                 raise QuorumUnavailableError("no majority stands in the newest roster yet", retry_after=1)
-            await sleep(self._node.reactor, ROSTER_MOVING_PAUSE)
+            await sleep(self._node.reactor, VOTING_CONFIG_MOVING_PAUSE)
 
     async def _replace_member(self, call):
-        return await self._ask(ROSTER_KEY, "replace", call.json(), CHANGE_TIME)
+        return await self._ask(VOTING_CONFIG_KEY, "replace", call.json(), CHANGE_TIME)
 
     async def _condition(self, _call):
-        owners, voter = self._control.owners, self._control.voter
+        leaders, voter = self._control.leaders, self._control.voter
         return 200, self._node.condition() | {
-            "condition": "ready" if owners.held else "waiting",
-            "slots": len(owners.held),
+            "condition": "ready" if leaders.active else "waiting",
+            "slots": len(leaders.active),
             "platform": self._control.platform and self._control.platform.reachable,
             "eviction": self._control.placement.mode,
-            "roster": voter.roster and voter.roster.record,
-            "majority": not owners.contact.is_lost(),
-            "votersBehind": owners.voters_behind,
-            "inTouchFor": round(owners.contact.seconds(), 3),
+            "roster": voter.voting_config and voter.voting_config.record,
+            "majority": not leaders.contact.is_lost(),
+            "votersBehind": leaders.voters_behind,
+            "inTouchFor": round(leaders.contact.seconds(), 3),
             "disk": self._control.ring.condition(),
         }
--- a/packages/control/oakramp/control/bootstrap.py
+++ b/packages/control/oakramp/control/bootstrap.py
@@ -48,7 +48,7 @@
 async def found(node, voter):
     """Finishes what the identity says is being founded."""
     founding = node.identity.founding
-    await voter.set_roster(founding["roster"])
+    await voter.set_voting_config(founding["roster"])
     node.identity.join_cluster(founding["clusterId"], founded=True)
     node.net.join_cluster(founding["clusterId"])
     node.log.info("cluster_bootstrapped", cluster_id=founding["clusterId"], members=len(founding["roster"]["members"]))
--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -44,22 +44,22 @@
     return f"ended#{digest[:2]}", digest
 
 
-def _has_ended(view, key):
+def _has_ended(transaction, key):
     entry, digest = _ended_key(key)
-    return digest in (view.get(entry) or ())
+    return digest in (transaction.get(entry) or ())
 
 
-def _program(view, key):
-    program = view.get(key)
-    if program is None and _has_ended(view, key):
+def _program(transaction, key):
+    program = transaction.get(key)
+    if program is None and _has_ended(transaction, key):
         raise ProgramEndedError("this program has ended")
     if program is None:
         raise NotFoundError("no such program")
     return program
 
 
-def _running(view, key):
-    program = _program(view, key)
+def _running(transaction, key):
+    program = _program(transaction, key)
     if program.get("ending"):
         raise ProgramEndedError("this program has ended")
     return program
@@ -69,20 +69,20 @@
     return f"{key}#turn/{turn}"
 
 
-def _set_mark(view, key, turn, **mark):
-    former = view.get(_mark_key(key, turn)) or {}
-    view.put(_mark_key(key, turn), {"back": former.get("back", {})} | mark)
+def _set_mark(transaction, key, turn, **mark):
+    previous = transaction.get(_mark_key(key, turn)) or {}
+    transaction.put(_mark_key(key, turn), {"back": previous.get("back", {})} | mark)
 
 
-def _take_back(view, key, program, turn, arguments):
+def _take_back(transaction, key, program, turn, arguments):
     """Notes that this admission will not be carried; what an earlier one of the turn did stays known."""
-    mark = view.get(_mark_key(key, turn))
+    mark = transaction.get(_mark_key(key, turn))
     if mark is None and turn not in program["open"]:
         if program["turns"] >= TURNS_LIMIT:
             return  # a late admission of a turn that has no mark is refused for that already
         program["turns"] += 1
     mark = mark or {"state": "never", "print": arguments["print"], "admission": arguments["admission"], "units": 0}
-    view.put(_mark_key(key, turn), mark | {"back": note_back(view, mark, arguments)})
+    transaction.put(_mark_key(key, turn), mark | {"back": note_back(transaction, mark, arguments)})
 
 
 def _reserved(program):
@@ -99,9 +99,9 @@
     }
 
 
-def _rules_of(view, key):
+def _rules_of(transaction, key):
     partner = key.split("/")[1]
-    age, rest = news_of(view.context.board, partner)
+    age, rest = news_of(transaction.context.state_table, partner)
     if age > BLUEPRINT_AGE:
         raise QuorumUnavailableError("the blueprint's news is too old, so the program was not opened", retry_after=1)
     if rest is None:
@@ -109,40 +109,42 @@
     return rest["programs"]
 
 
-def _open(view, key, arguments):
+def _open(transaction, key, arguments):
     """A program that is there already is shown; else it takes its limit, or the plan's, within the plan's bound.
     The plan is looked at here, in the order of commands, so that the limit is of no older plan than the news of
     this node are old."""
     check_fields({"limit": Or(None, whole(1, UNITS_LIMIT))}, arguments)
-    program, limit = view.get(key), arguments["limit"]
-    if (program is None and _has_ended(view, key)) or (program or {}).get("ending"):
+    program, limit = transaction.get(key), arguments["limit"]
+    if (program is None and _has_ended(transaction, key)) or (program or {}).get("ending"):
         raise ProgramEndedError("this program has ended, and its budget never starts anew")
     if program is None:
-        rules = _rules_of(view, key)
+        rules = _rules_of(transaction, key)
         limit = limit or rules["defaultLimit"]
         if limit > rules["maxLimit"]:
             raise BadRequestError(f"limit is above the plan's {rules['maxLimit']}")
         program = {"limit": limit, "spent": 0, "open": {}, "turns": 0}
-        view.put(key, program)
-        view.context.touch(key)
+        transaction.put(key, program)
+        transaction.context.touch(key)
     if limit not in (None, program["limit"]):
         raise ConflictError(f"the program is open already, with a limit of {program['limit']}")
     return _shown(program)
 
 
-def _read(view, key, _arguments):
-    return _shown(_program(view, key))
+def _read(transaction, key, _arguments):
+    return _shown(_program(transaction, key))
 
 
-def _give_up(view, key, program, turn):
+def _give_up(transaction, key, program, turn):
     """The gate of this reservation is gone: what it reserved counts as spent."""
     row = program["open"].pop(turn)
     program["spent"] += row["reserve"]
-    _set_mark(view, key, turn, state="vanished", print=row["print"], admission=row["admission"], units=row["reserve"])
-    view.put(key, program)
+    _set_mark(
+        transaction, key, turn, state="vanished", print=row["print"], admission=row["admission"], units=row["reserve"]
+    )
+    transaction.put(key, program)
 
 
-def _admit(view, key, arguments):
+def _admit(transaction, key, arguments):
     check_fields(
         {
             "turn": TURN,
@@ -155,20 +157,20 @@
         },
         arguments,
     )
-    program, turn = _running(view, key), arguments["turn"]
-    view.context.touch(key)
-    row, mark = program["open"].get(turn), view.get(_mark_key(key, turn))
+    program, turn = _running(transaction, key), arguments["turn"]
+    transaction.context.touch(key)
+    row, mark = program["open"].get(turn), transaction.get(_mark_key(key, turn))
     if is_back(mark, arguments):
         raise RequestRejectedError("this admission was taken back before it came in")
     if row and row["admission"] == arguments["admission"]:
         return {"state": "admitted", "reserve": row["reserve"]}
     if row and row["print"] != arguments["print"]:
         raise ConflictError("this turn id is in use for another request")
-    if row and view.context.members.condition(row["gate"]) != SILENT:
+    if row and transaction.context.members.condition(row["gate"]) != SILENT:
         raise InProgressError("this turn is running", retry_after=1)
     if row:
-        _give_up(view, key, program, turn)
-        mark = view.get(_mark_key(key, turn))
+        _give_up(transaction, key, program, turn)
+        mark = transaction.get(_mark_key(key, turn))
     if mark and mark["state"] != "never":
         if mark["print"] != arguments["print"]:
             raise ConflictError("this turn id was used for another request")
@@ -180,15 +182,17 @@
         raise ConflictError(f"a program has at most {TURNS_LIMIT} turns; open another one")
     program["turns"] += mark is None
     if program["spent"] + _reserved(program) >= program["limit"]:
-        _set_mark(view, key, turn, state="refused", print=arguments["print"], admission=arguments["admission"], units=0)
-        view.put(key, program)
+        _set_mark(
+            transaction, key, turn, state="refused", print=arguments["print"], admission=arguments["admission"], units=0
+        )
+        transaction.put(key, program)
         return {"state": "refused"}
     program["open"][turn] = {name: arguments[name] for name in ("print", "reserve", "admission", "gate")}
-    view.put(key, program)
+    transaction.put(key, program)
     return {"state": "admitted", "reserve": arguments["reserve"]}
 
 
-def _settle(view, key, arguments):
+def _settle(transaction, key, arguments):
     check_fields(
         {
             "turn": TURN,
@@ -201,11 +205,11 @@
         },
         arguments,
     )
-    if view.get(key) is None and _has_ended(view, key):
+    if transaction.get(key) is None and _has_ended(transaction, key):
         return {"state": "ended"}
-    view.context.touch(key)
-    program, turn = _program(view, key), arguments["turn"]
-    row, mark = program["open"].get(turn), view.get(_mark_key(key, turn))
+    transaction.context.touch(key)
+    program, turn = _program(transaction, key), arguments["turn"]
+    row, mark = program["open"].get(turn), transaction.get(_mark_key(key, turn))
     if row and row["admission"] == arguments["admission"]:
         del program["open"][turn]
         program["spent"] += arguments["units"]
@@ -214,11 +218,11 @@
     elif arguments["outcome"] != "never":
         return _shown(program)  # settled before
     if arguments["outcome"] == "never":
-        _take_back(view, key, program, turn, arguments)
-        view.put(key, program)
+        _take_back(transaction, key, program, turn, arguments)
+        transaction.put(key, program)
         return _shown(program)
     _set_mark(
-        view,
+        transaction,
         key,
         turn,
         state=arguments["outcome"],
@@ -226,61 +230,61 @@
         admission=arguments["admission"],
         units=arguments["units"],
     )
-    view.put(key, program)
+    transaction.put(key, program)
     return _shown(program)
 
 
-def _end(view, key, _arguments):
+def _end(transaction, key, _arguments):
     """The end of a program, asked for; safe to ask again."""
-    if view.get(key) is None and _has_ended(view, key):
+    if transaction.get(key) is None and _has_ended(transaction, key):
         return {"state": "ended"}
-    program = _program(view, key)
+    program = _program(transaction, key)
     if not program.get("ending"):
         program["ending"] = True
-        view.put(key, program)
+        transaction.put(key, program)
     return _shown(program)
 
 
-def _go_on_ending(view, key):
+def _go_on_ending(transaction, key):
     """The marks go first, a page at a time; the program and its place among the ended ones change in one step."""
-    marks = list(islice(view.committed_keys(f"{key}#"), ENDING_MARKS))
+    marks = list(islice(transaction.committed_keys(f"{key}#"), ENDING_MARKS))
     for mark_key in marks:
-        view.put(mark_key, None)
+        transaction.put(mark_key, None)
     if marks:
         return
     entry, digest = _ended_key(key)
-    view.put(entry, sorted({*(view.get(entry) or ()), digest}))
-    view.put(key, None)
-    view.context.marks.pop(key, None)
+    transaction.put(entry, sorted({*(transaction.get(entry) or ()), digest}))
+    transaction.put(key, None)
+    transaction.context.marks.pop(key, None)
 
 
-def _is_idle(view, key):
-    _, rest = news_of(view.context.board, key.split("/")[1])
+def _is_idle(transaction, key):
+    _, rest = news_of(transaction.context.state_table, key.split("/")[1])
     longest = (rest or {}).get("programs", {}).get("endAfterIdle")
-    return longest is not None and view.context.age_of(key) > longest
+    return longest is not None and transaction.context.age_of(key) > longest
 
 
-def _sweep(view, key, _arguments):
+def _cleanup(transaction, key, _arguments):
     """Gives up reservations of gates that are long gone, and ends programs that are over."""
-    program = view.get(key)
+    program = transaction.get(key)
     if program is None:
         return
     if program.get("ending") and not program["open"]:
-        _go_on_ending(view, key)
+        _go_on_ending(transaction, key)
         return
-    if not program["open"] and _is_idle(view, key):
-        _end(view, key, {})
+    if not program["open"] and _is_idle(transaction, key):
+        _end(transaction, key, {})
         return
-    members = view.context.members
+    members = transaction.context.members
     for turn in [turn for turn, row in program["open"].items() if members.find(row["gate"]) is None]:
-        if view.context.age_of(f"{key}#gone/{turn}") > 0:
-            _give_up(view, key, program, turn)
+        if transaction.context.age_of(f"{key}#gone/{turn}") > 0:
+            _give_up(transaction, key, program, turn)
 
 
 CONTROLLERS.enter("budget")(
     Controller(
-        {"open": _open, "read": _read, "end": _end, "admit": _admit, "settle": _settle, "sweep": _sweep},
-        sweep="sweep",
+        {"open": _open, "read": _read, "end": _end, "admit": _admit, "settle": _settle, "sweep": _cleanup},
+        cleanup="sweep",
         growing=("open", "admit"),
     )
 )
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -2,7 +2,7 @@
 
 import time
 
-from oakramp.common.constants import ACCEPT_INBOX, OWNER_TRIES_PAUSE, SLOTS
+from oakramp.common.constants import ACCEPT_QUEUE_LIMIT, OWNER_TRIES_PAUSE, SHARDS
 from oakramp.common.errors import OakrampError
 from oakramp.common.http_server import HttpServer
 from oakramp.common.metrics import Metrics, serve_metrics
@@ -34,38 +34,40 @@
 
 
 class ControlNode:
-    slot_count = SLOTS
+    shard_count = SHARDS
 
     def __init__(self, reactor, env, disk, random, sink, wall=time.time, dialect=None):
         self.node = Node(reactor, "control", env, random, sink, disk, wall, founding_of(env))
         self.ring = CircularLog(disk, self.node.log, env.get("ringFileSize"), seconds=reactor.seconds)
         self.voter = Voter(self.node, self.ring)
-        self.client = ShardClient(self.node, lambda address: not self.node.puller.answers_lately(address))
-        self.owners = LeaderRegistry(self.node, self.voter)
-        self.majority_client = MajorityClient(self.node, self.voter, self.owners, self.client)
-        self.lapses = LeaseExpiryWatch(self.node, self.voter, self.owners)
-        self.node.puller.carry_terms(LeaseRenewalPiggyback(self.owners, self.node))
-        self.node.puller.confirm_terms(self.voter.confirm_terms)
+        self.client = ShardClient(self.node, lambda address: not self.node.gossip_client.answers_lately(address))
+        self.leaders = LeaderRegistry(self.node, self.voter)
+        self.majority_client = MajorityClient(self.node, self.voter, self.leaders, self.client)
+        self.lapses = LeaseExpiryWatch(self.node, self.voter, self.leaders)
+        self.node.gossip_client.carry_leases(LeaseRenewalPiggyback(self.leaders, self.node))
+        self.node.gossip_client.confirm_leases(self.voter.confirm_leases)
         self.platform = (
-            ReplicaDiscovery(self.node, self.owners, self.voter, env["platform"], dialect)
+            ReplicaDiscovery(self.node, self.leaders, self.voter, env["platform"], dialect)
             if env.get("platform")
             else None
         )
-        self.roster_watch = MembershipRepairTask(self.node, self.voter, self.owners, bool(env.get("selfForming")))
+        self.voting_config_watch = MembershipRepairTask(
+            self.node, self.voter, self.leaders, bool(env.get("selfForming"))
+        )
         self.store_watch = StoreMembershipTask(
-            self.node, self.owners, bool(env.get("selfForming")), env.get("toleratedLosses") or 1
+            self.node, self.leaders, bool(env.get("selfForming")), env.get("toleratedLosses") or 1
         )
-        self.placement = PrefixPlacementTask(self.node, self.owners)
-        self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_INBOX)
+        self.placement = PrefixPlacementTask(self.node, self.leaders)
+        self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.operator = OperatorApi(self, dialect) if dialect is not None and env.get("operator") else None
         self.metrics = Metrics()
         serve_metrics(self.web, self.metrics)
         AdminApi(self)
         for name, ask in (
-            ("slots_held", lambda: len(self.owners.held)),
-            ("majority_reached", lambda: int(not self.owners.contact.is_lost())),
-            ("in_touch_seconds", self.owners.contact.seconds),
-            ("voters_behind", lambda: self.owners.voters_behind),
+            ("slots_held", lambda: len(self.leaders.active)),
+            ("majority_reached", lambda: int(not self.leaders.contact.is_lost())),
+            ("in_touch_seconds", self.leaders.contact.seconds),
+            ("voters_behind", lambda: self.leaders.voters_behind),
             ("ring_syncs", lambda: self.ring.sync_count),
             ("ring_commits", lambda: self.ring.commit_count),
             ("ring_live_bytes", self.ring.live_bytes),
@@ -93,24 +95,24 @@
         self._start_duties()
 
     def _start_duties(self):
-        self.owners.start()
+        self.leaders.start()
         self.lapses.start()
         self.store_watch.start()
-        self.roster_watch.start()
+        self.voting_config_watch.start()
         self.placement.start()
         if self.platform:
             self.platform.start()
 
     async def stop(self):
         self._starting.cancel()
-        await self.node.puller.say_leaving()
+        await self.node.gossip_client.say_leaving()
         if self.platform:
             self.platform.stop()
         self.store_watch.stop()
         self.placement.stop()
         self.lapses.stop()
         await settled([web.stop() for web in (self.web, self.operator) if web])
-        await self.owners.stop()
-        self.roster_watch.stop()
+        await self.leaders.stop()
+        self.voting_config_watch.stop()
         self.voter.stop()
         await self.node.stop()
--- a/packages/control/oakramp/control/controllers.py
+++ b/packages/control/oakramp/control/controllers.py
@@ -8,26 +8,26 @@
 from oakramp.common.registry import Registry
 
 CONTROLLERS = Registry("controller")
-SLOT_SOURCE = "slot/"  # before a slot's number: the news source that names its owner
+SHARD_SOURCE = "slot/"  # before a slot's number: the news source that names its owner
 
 
 class Controller:
     """`commands` maps names to functions (view, key, arguments) -> JSON-able result. Those in `growing` are refused
     when the control state is nearly full; those in `replacing` only if what they leave would not fit a second time."""
 
-    def __init__(self, commands, image=None, sweep=None, growing=(), replacing=()):
+    def __init__(self, commands, snapshot=None, cleanup=None, growing=(), replacing=()):
         self._commands = Registry("command")
         for name, function in commands.items():
             self._commands.enter(name)(function)
-        self.image, self.sweep = image, sweep
+        self.snapshot, self.cleanup = snapshot, cleanup
         self.growing, self.replacing = frozenset(growing), frozenset(replacing)
 
-    def run(self, view, key, command, arguments):
+    def run(self, transaction, key, command, arguments):
         try:
             function = self._commands.find(command)
         except NotFoundError as error:
             raise MethodNotFoundError(f"not in this release: {error.reason}") from error
-        return function(view, key, arguments)
+        return function(transaction, key, arguments)
 
 
 def published_by(entry_key):
@@ -37,9 +37,9 @@
         controller = CONTROLLERS.find(key.partition("/")[0])
     except NotFoundError:
         return None
-    return key if controller.image else None
+    return key if controller.snapshot else None
 
 
 def sweeps_for(keys):
     """The (key, command) pairs by which an owner lets old things go."""
-    return [(key, command) for key in keys for command in [CONTROLLERS.find(key.partition("/")[0]).sweep] if command]
+    return [(key, command) for key in keys for command in [CONTROLLERS.find(key.partition("/")[0]).cleanup] if command]
--- a/packages/control/oakramp/control/idempotency.py
+++ b/packages/control/oakramp/control/idempotency.py
@@ -19,14 +19,14 @@
 ADMISSION = {"print": str, "admission": NAME, "gate": NAME, "number": NUMBER}
 
 
-def _set(view, key, former, **claim):
-    view.put(key, {"back": (former or {}).get("back", {})} | claim)
-    view.context.touch(key)
+def _set(transaction, key, previous, **claim):
+    transaction.put(key, {"back": (previous or {}).get("back", {})} | claim)
+    transaction.context.touch(key)
 
 
-def _claim(view, key, arguments):
+def _claim(transaction, key, arguments):
     check_fields(ADMISSION, arguments)
-    claim = view.get(key)
+    claim = transaction.get(key)
     if is_back(claim, arguments):
         raise RequestRejectedError("this claim was taken back before it came in")
     if claim and claim["state"] != "free" and claim["print"] != arguments["print"]:
@@ -35,22 +35,22 @@
         return {"state": "done", "answer": claim["answer"]}
     if claim and claim["state"] == "claimed" and claim["admission"] != arguments["admission"]:
         raise InProgressError("this key is claimed; its request runs now or may have run", retry_after=1)
-    _set(view, key, claim, state="claimed", print=arguments["print"], admission=arguments["admission"])
+    _set(transaction, key, claim, state="claimed", print=arguments["print"], admission=arguments["admission"])
     return {"state": "claimed"}
 
 
-def _finish(view, key, arguments):
+def _finish(transaction, key, arguments):
     check_fields(ADMISSION | {Optional("answer"): Or(None, dict)}, arguments)
-    claim = view.get(key)
+    claim = transaction.get(key)
     if claim and claim["state"] == "claimed" and claim["admission"] == arguments["admission"]:
-        _set(view, key, claim, **(claim | {"state": "done", "answer": arguments.get("answer")}))
+        _set(transaction, key, claim, **(claim | {"state": "done", "answer": arguments.get("answer")}))
     return {}
 
 
-def _free(view, key, arguments):
+def _free(transaction, key, arguments):
     """The request never left: the key may be claimed again, but not by this admission come late."""
     check_fields(ADMISSION, arguments)
-    claim = view.get(key)
+    claim = transaction.get(key)
     if claim is None or claim["admission"] == arguments["admission"]:
         claim = {
             "state": "free",
@@ -58,7 +58,7 @@
             "admission": arguments["admission"],
             "back": (claim or {}).get("back", {}),
         }
-    _set(view, key, claim, **(claim | {"back": note_back(view, claim, arguments)}))
+    _set(transaction, key, claim, **(claim | {"back": note_back(transaction, claim, arguments)}))
     return {}
 
 
@@ -68,12 +68,14 @@
     return max(CLAIM_KEPT, 2 * context.bounds.get("claim_window_s", 0))
 
 
-def _sweep(view, key, _arguments):
-    if view.context.age_of(key) > _kept_for(view.context):
-        view.put(key, None)
-        view.context.marks.pop(key, None)
+def _cleanup(transaction, key, _arguments):
+    if transaction.context.age_of(key) > _kept_for(transaction.context):
+        transaction.put(key, None)
+        transaction.context.marks.pop(key, None)
 
 
 CONTROLLERS.enter("claim")(
-    Controller({"claim": _claim, "finish": _finish, "free": _free, "sweep": _sweep}, sweep="sweep", growing=("claim",))
+    Controller(
+        {"claim": _claim, "finish": _finish, "free": _free, "sweep": _cleanup}, cleanup="sweep", growing=("claim",)
+    )
 )
--- a/packages/control/oakramp/control/leader_changes.py
+++ b/packages/control/oakramp/control/leader_changes.py
@@ -13,7 +13,7 @@
 from oakramp.common.constants import OWNER_LEFT_PAUSE
 from oakramp.common.errors import OutcomeUnknownError
 from oakramp.common.tasks import begin
-from oakramp.control.controllers import SLOT_SOURCE
+from oakramp.control.controllers import SHARD_SOURCE
 
 
 class LeaderChangeWatch:
@@ -21,35 +21,35 @@
     asked, and that owner's address."""
 
     def __init__(self, node, address_of):
-        """`address_of(slot)` is where the slot's owner is by the newest news, or None."""
+        """`address_of(shard)` is where the slot's owner is by the newest news, or None."""
         self._reactor, self._address_of = node.reactor, address_of
         self._waiting = defaultdict(dict)
-        node.board.watch(SLOT_SOURCE, self._on_news)
+        node.state_table.watch(SHARD_SOURCE, self._on_news)
 
-    def answer_of(self, slot, address, call):
+    def answer_of(self, shard, address, call):
         """The call's answer; NoAnswer if it is to the owner that news name, they name another one meanwhile, and a moment
         later there is still none."""
         answer = begin(call)
-        if address != self._address_of(slot):
+        if address != self._address_of(shard):
             return answer  # another node has named it, which may know more
         outcome = Deferred(lambda _: answer.cancel())
-        self._waiting[slot][outcome] = address
-        answer.addBoth(self._settle, slot, outcome)
+        self._waiting[shard][outcome] = address
+        answer.addBoth(self._settle, shard, outcome)
         return outcome
 
-    def _settle(self, result, slot, outcome):
-        self._waiting[slot].pop(outcome, None)
+    def _settle(self, result, shard, outcome):
+        self._waiting[shard].pop(outcome, None)
         if not outcome.called:
             outcome.callback(result)
 
     def _on_news(self, source):
-        slot = int(source[len(SLOT_SOURCE) :])
-        owner = self._address_of(slot)
-        for outcome, address in self._waiting[slot].items():
+        shard = int(source[len(SHARD_SOURCE) :])
+        owner = self._address_of(shard)
+        for outcome, address in self._waiting[shard].items():
             if owner is not None and address != owner:
-                self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._leave, slot, outcome))
+                self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._leave, shard, outcome))
 
-    def _leave(self, slot, outcome):
-        self._waiting[slot].pop(outcome, None)
+    def _leave(self, shard, outcome):
+        self._waiting[shard].pop(outcome, None)
         if not outcome.called:
             outcome.errback(OutcomeUnknownError("the owner did not answer, and another one is known now"))
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -5,17 +5,17 @@
 take-over is the ordinary one, with its wait for the former lease: what is found here is a reason to begin, never to skip.
 """
 
-from oakramp.common.constants import LAPSE_ASK_TIME, LAPSE_LOOK, LEASE_LAPSED, SUSPECT_SILENT
+from oakramp.common.constants import EXPIRY_POLL, EXPIRY_QUERY_TIME, LEASE_EXPIRED, SUSPECT_SILENT
 from oakramp.common.tasks import Repeater, quorum_of
 
 
 class LeaseExpiryWatch:
     """Invariant: `_ask_at` holds, for each slot that was asked for, the time before which it is not asked for again."""
 
-    def __init__(self, node, voter, owners):
-        self._node, self._voter, self._owners = node, voter, owners
+    def __init__(self, node, voter, leaders):
+        self._node, self._voter, self._owners = node, voter, leaders
         self._ask_at = {}
-        self._repeater = Repeater(node.reactor, LAPSE_LOOK, self._look, node.log)
+        self._repeater = Repeater(node.reactor, EXPIRY_POLL, self._poll, node.log)
 
     def start(self):
         self._repeater.start()
@@ -23,48 +23,50 @@
     def stop(self):
         self._repeater.stop()
 
-    async def _look(self):
-        slots = self._quiet_slots()
-        if not slots or not self._hears_majority():
+    async def _poll(self):
+        shards = self._quiet_shards()
+        if not shards or not self._hears_majority():
             return
-        quiet = await self._ask_majority(slots)
-        lapsed = {slot for slot in slots if quiet[slot] >= LEASE_LAPSED}
+        quiet = await self._ask_majority(shards)
+        expired = {shard for shard in shards if quiet[shard] >= LEASE_EXPIRED}
         # Silent ones whose leases have lapsed are passed over.
-        suspects = {owner for owner in map(self._owners.former_owner, lapsed) if not self._answers(owner)}
+        suspects = {owner for owner in map(self._owners.previous_owner, expired) if not self._answers(owner)}
         now = self._node.reactor.seconds()
-        for slot in slots:
-            if slot in lapsed and self._owners.is_free(slot) and self._owners.is_next(slot, suspects):
-                self._owners.begin_take_over(slot, lapsed=True)
-            self._ask_at[slot] = now + max(LAPSE_LOOK, LEASE_LAPSED - quiet[slot])
+        for shard in shards:
+            if shard in expired and self._owners.is_free(shard) and self._owners.is_next(shard, suspects):
+                self._owners.begin_failover(shard, expired=True)
+            self._ask_at[shard] = now + max(EXPIRY_POLL, LEASE_EXPIRED - quiet[shard])
 
-    def _quiet_slots(self):
+    def _quiet_shards(self):
         """Slots of others that this node's own voter has not confirmed for long."""
         now, own_id = self._node.reactor.seconds(), self._node.node_id
         return [
-            slot
-            for slot in self._voter.quiet_slots(LEASE_LAPSED, own_id)
-            if self._owners.is_free(slot) and now >= self._ask_at.get(slot, 0.0)
+            shard
+            for shard in self._voter.quiet_shards(LEASE_EXPIRED, own_id)
+            if self._owners.is_free(shard) and now >= self._ask_at.get(shard, 0.0)
         ]
 
     def _hears_majority(self):
         """Whether a majority has answered this node just now. If not, it may have been frozen itself, and all that it has not
         heard of the others says nothing."""
-        roster = self._voter.roster
-        if roster is None or self._node.node_id not in roster.everyone:
+        voting_config = self._voter.voting_config
+        if voting_config is None or self._node.node_id not in voting_config.everyone:
             return False
-        return roster.is_quorum({node_id for node_id in roster.everyone if self._answers(node_id)})
+        return voting_config.is_quorum({node_id for node_id in voting_config.everyone if self._answers(node_id)})
 
-    async def _ask_majority(self, slots):
+    async def _ask_majority(self, shards):
         """Slot -> seconds for which each of a majority has been quiet; 0 if no majority answered."""
         reached, answers = await quorum_of(
-            self._owners.ask_voters("unconfirmed", self._voter.roster.everyone, LAPSE_ASK_TIME, slots=slots),
-            self._voter.roster.is_quorum,
+            self._owners.ask_voters(
+                "unconfirmed", self._voter.voting_config.everyone, EXPIRY_QUERY_TIME, shards=shards
+            ),
+            self._voter.voting_config.is_quorum,
         )
         if not reached:
-            return dict.fromkeys(slots, 0.0)
-        return {slot: min(quiet[place] for quiet in answers.values()) / 1000 for place, slot in enumerate(slots)}
+            return dict.fromkeys(shards, 0.0)
+        return {shard: min(quiet[place] for quiet in answers.values()) / 1000 for place, shard in enumerate(shards)}
 
     def _answers(self, node_id):
         """Whether this node has answered a pull lately: then it is at work, though a majority may not confirm its lease."""
         address = self._owners.voter_addresses().get(node_id)
-        return address is not None and self._node.puller.answers_lately(address, SUSPECT_SILENT)
+        return address is not None and self._node.gossip_client.answers_lately(address, SUSPECT_SILENT)
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -23,8 +23,8 @@
 from oakramp.common.constants import (
     FRAME_LIMIT,
     OPERATOR_ANSWER_AGE,
-    OPERATOR_INBOX,
     OPERATOR_LIMIT,
+    OPERATOR_QUEUE_LIMIT,
     OPERATOR_RETRY,
     OPERATOR_TIME,
 )
@@ -90,7 +90,7 @@
         self._node, self._client, self._dialect = control.node, control.majority_client, dialect
         self._known = (0, None)
         self.web = HttpServer(
-            self._node.reactor, self._node.env["operator"], self._node.log, OPERATOR_INBOX, OPERATOR_LIMIT
+            self._node.reactor, self._node.env["operator"], self._node.log, OPERATOR_QUEUE_LIMIT, OPERATOR_LIMIT
         )
         for word, handler in (
             ("replace", self._put),
@@ -148,9 +148,9 @@
     async def _newest(self):
         """(version, document) as the owner has it inside its term; (0, None) before the first one. The document comes
         from this node's own news if they are as new as that."""
-        image = self._node.board.images.get(ROUTING_KEY)
-        if image is not None and image.version > self._known[0]:
-            self._known = document_from(self._node.board.values(ROUTING_KEY))
+        snapshot = self._node.state_table.snapshots.get(ROUTING_KEY)
+        if snapshot is not None and snapshot.version > self._known[0]:
+            self._known = document_from(self._node.state_table.values(ROUTING_KEY))
         known = self._known
         said = await self._ask(ROUTING_KEY, "read", {"known": known[0]})
         if said["version"] == known[0]:
@@ -195,12 +195,12 @@
             apply_patch(document or {}, patch["upsert"], patch["remove"]), patch["version"]
         )
         version = self._check(changed)
-        former, pieces = pieces_of(document) if document is not None else {}, pieces_of(changed)
+        previous, pieces = pieces_of(document) if document is not None else {}, pieces_of(changed)
         # Compared as they are kept: to Python 1, 1.0 and true are all the same.
-        pieces = dict.fromkeys(former.keys() - pieces.keys()) | {
+        pieces = dict.fromkeys(previous.keys() - pieces.keys()) | {
             name: value
             for name, value in pieces.items()
-            if name not in former or pack_json(former[name]) != pack_json(value)
+            if name not in previous or pack_json(previous[name]) != pack_json(value)
         }
         return await self._take("change", based_on, version, fingerprint, pieces=pieces)
 
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -15,7 +15,7 @@
     BLUEPRINTS_KEPT,
     ENDS_AFTER_LEAST,
     ENDS_AFTER_MOST,
-    SLOTS,
+    SHARDS,
     TIME_LEFT_LIMIT,
     UNITS_LIMIT,
 )
@@ -30,9 +30,9 @@
 )
 from oakramp.common.registry import Registry
 from oakramp.common.validation import NAME, check_fields, faults_of, is_name, one_of, pack_json, seconds, whole
-from oakramp.control.controllers import CONTROLLERS, SLOT_SOURCE, Controller
+from oakramp.control.controllers import CONTROLLERS, SHARD_SOURCE, Controller
 from oakramp.control.replica_registry import REPLICAS_KEY
-from oakramp.membership.rendezvous_hashing import slot_of
+from oakramp.membership.rendezvous_hashing import shard_of
 
 BINDING = {
     "kind": one_of("model", "plain"),
@@ -130,25 +130,25 @@
     return f"{key}#v/{version:010d}"
 
 
-def _head(view, key):
-    return view.get(key) or {"version": 0, "base": 0, "first": 0}
+def _head(transaction, key):
+    return transaction.get(key) or {"version": 0, "base": 0, "first": 0}
 
 
-def _at(view, key, version, base):
-    rows = [view.get(_version_key(key, number)) for number in range(base, version + 1)]
+def _at(transaction, key, version, base):
+    rows = [transaction.get(_version_key(key, number)) for number in range(base, version + 1)]
     blueprint = rows[0]["whole"]
     for row in rows[1:]:
         blueprint = row["whole"] if "whole" in row else CHANGES.find(row["change"])(blueprint, row["arguments"])
     return blueprint
 
 
-def _current(view, key, head):
-    memo = view.context.marks.get(f"memo/{key}") if view.context else None
+def _current(transaction, key, head):
+    memo = transaction.context.marks.get(f"memo/{key}") if transaction.context else None
     if memo and memo[0] == head["version"]:
         return memo[1]
-    blueprint = _at(view, key, head["version"], head["base"])
-    if view.context:
-        view.context.marks[f"memo/{key}"] = (head["version"], blueprint)
+    blueprint = _at(transaction, key, head["version"], head["base"])
+    if transaction.context:
+        transaction.context.marks[f"memo/{key}"] = (head["version"], blueprint)
     return blueprint
 
 
@@ -176,7 +176,7 @@
     raise VersionConflictError(reason, detail={"version": head["version"]})
 
 
-def _put(view, key, arguments):
+def _put(transaction, key, arguments):
     check_fields(
         {
             "changeId": NAME,
@@ -187,43 +187,43 @@
         },
         arguments,
     )
-    head = _head(view, key)
-    known = view.get(f"{key}#c/{arguments['changeId']}")
+    head = _head(transaction, key)
+    known = transaction.get(f"{key}#c/{arguments['changeId']}")
     asked = {name: arguments[name] for name in ("blueprint", "change", "arguments") if name in arguments}
     if known:
         _check_same_change(known, arguments["changeId"], asked)
         return {"outcome": "accepted", "version": known["version"]}
     _check_base(head, arguments["basedOn"])
-    view.context.refuse_full()
+    transaction.context.refuse_full()
     if ("blueprint" in asked) == ("change" in asked):
         raise BadRequestError("either a whole blueprint or a named change is needed")
     if "change" in asked and not head["version"]:
         raise ValidationFailedError("there is no blueprint to change yet", detail=["blueprint: is missing"])
     if "change" in asked:
-        blueprint = CHANGES.find(asked["change"])(_current(view, key, head), asked.get("arguments") or {})
+        blueprint = CHANGES.find(asked["change"])(_current(transaction, key, head), asked.get("arguments") or {})
     else:
         blueprint = asked["blueprint"]
     faults = blueprint_faults(blueprint)
     if faults:
         raise ValidationFailedError("; ".join(faults[:20]), detail=faults[:200])
-    version, former = head["version"] + 1, head
+    version, previous = head["version"] + 1, head
     is_base = "blueprint" in asked or version - head["base"] >= BASE_EVERY
     row = {"whole": blueprint} if is_base else {"change": asked["change"], "arguments": asked.get("arguments") or {}}
-    view.put(_version_key(key, version), row | {"changeId": arguments["changeId"]})
-    view.put(f"{key}#c/{arguments['changeId']}", {"version": version, "print": _print_of(asked)})
+    transaction.put(_version_key(key, version), row | {"changeId": arguments["changeId"]})
+    transaction.put(f"{key}#c/{arguments['changeId']}", {"version": version, "print": _print_of(asked)})
     head = {"version": version, "base": version if is_base else head["base"], "first": head["first"] or 1}
-    view.put(key, _pruned(view, key, head))
-    former = _current(view, key, former) if former["version"] else {"bindings": {}}
-    view.context.marks[f"memo/{key}"] = (version, blueprint)
-    return {"outcome": "accepted", "version": version, "warnings": _warnings(view, former, blueprint)}
+    transaction.put(key, _pruned(transaction, key, head))
+    previous = _current(transaction, key, previous) if previous["version"] else {"bindings": {}}
+    transaction.context.marks[f"memo/{key}"] = (version, blueprint)
+    return {"outcome": "accepted", "version": version, "warnings": _warnings(transaction, previous, blueprint)}
 
 
-def _warnings(view, former, blueprint):
+def _warnings(transaction, previous, blueprint):
     """What the plan may not have meant. It is the operator's to decide, so it is said, not refused."""
-    image = view.context.board.images.get(REPLICAS_KEY)
-    rows = [json.loads(value) for _, value in image.items.values() if value is not None] if image else []
+    snapshot = transaction.context.state_table.snapshots.get(REPLICAS_KEY)
+    rows = [json.loads(value) for _, value in snapshot.items.values() if value is not None] if snapshot else []
     pools = {row["pool"] for row in rows if row["state"] == "ready"}
-    gone = sorted(former["bindings"].keys() - blueprint["bindings"].keys())
+    gone = sorted(previous["bindings"].keys() - blueprint["bindings"].keys())
     return [
         f"bindings.{name}.pool: {binding['pool']} has no ready replica"
         for name, binding in sorted(blueprint["bindings"].items())
@@ -231,57 +231,59 @@
     ][:WARNINGS] + [f"bindings.{name}: is gone; requests that name it are refused" for name in gone][:WARNINGS]
 
 
-def _pruned(view, key, head):
+def _pruned(transaction, key, head):
     """Lets whole runs of versions go once they are past what is kept, from one base to the next."""
     oldest = head["version"] - BLUEPRINTS_KEPT
     if oldest <= head["first"]:
         return head
-    bases = [number for number in range(head["first"], oldest + 1) if "whole" in view.get(_version_key(key, number))]
+    bases = [
+        number for number in range(head["first"], oldest + 1) if "whole" in transaction.get(_version_key(key, number))
+    ]
     for number in range(head["first"], bases[-1]):
-        view.put(f"{key}#c/{view.get(_version_key(key, number))['changeId']}", None)
-        view.put(_version_key(key, number), None)
+        transaction.put(f"{key}#c/{transaction.get(_version_key(key, number))['changeId']}", None)
+        transaction.put(_version_key(key, number), None)
     return head | {"first": bases[-1]}
 
 
-def _read(view, key, arguments):
-    head = _head(view, key)
+def _read(transaction, key, arguments):
+    head = _head(transaction, key)
     version = arguments.get("version") or head["version"]
     if not version or not head["first"] <= version <= head["version"]:
         raise NotFoundError(f"version {version} is not kept" if head["version"] else "no blueprint has been accepted")
     if version == head["version"]:
-        return {"version": version, "blueprint": _current(view, key, head)}
-    base = next(number for number in range(version, 0, -1) if "whole" in view.get(_version_key(key, number)))
-    return {"version": version, "blueprint": _at(view, key, version, base)}
+        return {"version": version, "blueprint": _current(transaction, key, head)}
+    base = next(number for number in range(version, 0, -1) if "whole" in transaction.get(_version_key(key, number)))
+    return {"version": version, "blueprint": _at(transaction, key, version, base)}
 
 
-def _outcome(view, key, arguments):
+def _outcome(transaction, key, arguments):
     """What became of a change, by its id: unknown, if it may be one of those whose ids are forgotten."""
-    known, head = view.get(f"{key}#c/{arguments['changeId']}"), _head(view, key)
+    known, head = transaction.get(f"{key}#c/{arguments['changeId']}"), _head(transaction, key)
     if known:
         return {"outcome": "accepted", "version": known["version"]}
     return {"outcome": "unknown" if head["first"] > 1 else "notAccepted", "version": head["version"]}
 
 
-def news_of(board, partner):
+def news_of(state_table, partner):
     """The newest that this node has heard of a partner's blueprint: its age, and all of it but the bindings, or
     None. That a partner has none is known by the owner of the slot it would be in."""
     source = f"blueprint/{partner}"
-    image = board.images.get(source)
-    if image is None:
-        return board.age(f"{SLOT_SOURCE}{slot_of(source, SLOTS)}"), None
-    _, rest = image.items.get("rest", (0, None))
-    return board.age(source), rest and json.loads(rest)
+    snapshot = state_table.snapshots.get(source)
+    if snapshot is None:
+        return state_table.age(f"{SHARD_SOURCE}{shard_of(source, SHARDS)}"), None
+    _, rest = snapshot.items.get("rest", (0, None))
+    return state_table.age(source), rest and json.loads(rest)
 
 
-def _image(view, key):
-    head = _head(view, key)
+def _snapshot(transaction, key):
+    head = _head(transaction, key)
     if not head["version"]:
         return 0, {}
-    blueprint = _at(view, key, head["version"], head["base"])
+    blueprint = _at(transaction, key, head["version"], head["base"])
     rest = {name: value for name, value in blueprint.items() if name != "bindings"}
     return head["version"], {"rest": pack_json(rest)} | {
         f"binding/{name}": pack_json(binding) for name, binding in blueprint["bindings"].items()
     }
 
 
-CONTROLLERS.enter("blueprint")(Controller({"put": _put, "read": _read, "outcome": _outcome}, image=_image))
+CONTROLLERS.enter("blueprint")(Controller({"put": _put, "read": _read, "outcome": _outcome}, snapshot=_snapshot))
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -75,46 +75,48 @@
 # placement. Invariants: the head's version rises with each change of a row; a row's tenants name replicas that were ready.
 
 
-def _report(view, key, arguments):
+def _report(transaction, key, arguments):
     check_fields({"gate": str, "number": whole(0, HIGHEST), "services": dict}, arguments)
-    windows = view.context.marks.setdefault(WINDOWS, {})
+    windows = transaction.context.marks.setdefault(WINDOWS, {})
     for service, report in arguments["services"].items():
         check_fields(REPORT, report)
-        windows.setdefault(service, Window()).add(view.context.now, arguments["gate"], arguments["number"], report)
+        windows.setdefault(service, Window()).add(
+            transaction.context.now, arguments["gate"], arguments["number"], report
+        )
     return {}
 
 
-def _rows(view):
-    return {key.partition("#")[2]: view.get(key) for key in view.committed_keys(ROWS)}
+def _rows(transaction):
+    return {key.partition("#")[2]: transaction.get(key) for key in transaction.committed_keys(ROWS)}
 
 
-def _set(view, key, arguments):
+def _set(transaction, key, arguments):
     check_fields({"service": NAME, "mode": one_of(*EVICTION_MODES), "tenants": dict}, arguments)
-    version = (view.get(key) or {"version": 0})["version"] + 1
-    view.put(key, {"version": version})
+    version = (transaction.get(key) or {"version": 0})["version"] + 1
+    transaction.put(key, {"version": version})
     row = {"mode": arguments["mode"], "tenants": arguments["tenants"]}
-    view.put(ROWS + arguments["service"], row if row["tenants"] else None)
+    transaction.put(ROWS + arguments["service"], row if row["tenants"] else None)
     return {"version": version}
 
 
-def _read(view, key, _arguments):
+def _read(transaction, key, _arguments):
     return {
-        "version": (view.get(key) or {"version": 0})["version"],
-        "services": _rows(view),
-        "findings": view.context.marks.get(SHOWN, {}),
+        "version": (transaction.get(key) or {"version": 0})["version"],
+        "services": _rows(transaction),
+        "findings": transaction.context.marks.get(SHOWN, {}),
     }
 
 
-def _image(view, key):
+def _snapshot(transaction, key):
     """An item a service: {tenant: replicas}. What is only tried out is told to no gate."""
-    return (view.get(key) or {"version": 0})["version"], {
+    return (transaction.get(key) or {"version": 0})["version"], {
         service: pack_json({tenant: one["replicas"] for tenant, one in row["tenants"].items()})
-        for service, row in _rows(view).items()
+        for service, row in _rows(transaction).items()
         if row["mode"] == "on"
     }
 
 
-CONTROLLERS.enter(PLACEMENT_KEY)(Controller({"report": _report, "set": _set, "read": _read}, image=_image))
+CONTROLLERS.enter(PLACEMENT_KEY)(Controller({"report": _report, "set": _set, "read": _read}, snapshot=_snapshot))
 
 
 def shown(outcome):
@@ -138,14 +140,14 @@
 
 
 class PrefixPlacementTask(SingletonTask):
-    """Invariant: `owners.pollTimes[placement]` is when this holder's last whole round began."""
+    """Invariant: `leaders.pollTimes[placement]` is when this holder's last whole round began."""
 
-    def __init__(self, node, owners):
-        super().__init__(node, owners, PLACEMENT_KEY, EVICTION_ROUND)
+    def __init__(self, node, leaders):
+        super().__init__(node, leaders, PLACEMENT_KEY, EVICTION_ROUND)
         self._decisions, self._decided_for = {}, None
         self._told = {}
         self.counts = Counter()
-        owners.poll_times[PLACEMENT_KEY] = float("-inf")
+        leaders.poll_times[PLACEMENT_KEY] = float("-inf")
 
     @property
     def mode(self):
@@ -171,7 +173,7 @@
     def _ready(self):
         """The ids of the replicas that are ready, by service."""
         ready = {}
-        for name, value in sorted(self._node.board.values(REPLICAS_KEY).items()):
+        for name, value in sorted(self._node.state_table.values(REPLICAS_KEY).items()):
             row = json.loads(value)
             if row["state"] == "ready":
                 ready.setdefault(row["pool"], []).append(name)
@@ -183,13 +185,13 @@
             del owner.marks[WINDOWS][service]
             self._decisions.pop(service, None)
             return
-        former = row["tenants"] if row else {}
+        previous = row["tenants"] if row else {}
         outcome = self._decisions.setdefault(service, Decision()).next(
-            loads, flow, window.cache_tokens, replicas, former
+            loads, flow, window.cache_tokens, replicas, previous
         )
         owner.marks[SHOWN][service] = shown(outcome)
         self._tell(service, outcome)
-        if outcome.rows != former or (row and row["mode"] != self.mode):
+        if outcome.rows != previous or (row and row["mode"] != self.mode):
             await owner.do(PLACEMENT_KEY, "set", {"service": service, "mode": self.mode, "tenants": outcome.rows})
             self.counts.update(moved=len(outcome.moved), let_go=len(outcome.let_go))
             self._node.log.info(
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -17,15 +17,15 @@
     def __init__(self, reactor, log):
         self._reactor, self._log = reactor, log
         self._since = None
-        self._looked_at = reactor.seconds()
+        self._polled_at = reactor.seconds()
         self._is_lost = True
 
-    def look(self, hears_majority):
+    def poll(self, hears_majority):
         """Takes in one look at who has answered lately."""
         now = self._reactor.seconds()
-        if now - self._looked_at > CONTACT_GAP:
+        if now - self._polled_at > CONTACT_GAP:
             self._since = None
-        self._looked_at = now
+        self._polled_at = now
         if not hears_majority:
             self._since = None
         elif self._since is None:
@@ -44,7 +44,7 @@
     def seconds(self):
         """For how long, without a gap, this node has been in touch; 0 if it is not known to be now."""
         now = self._reactor.seconds()
-        if self._since is None or now - self._looked_at > CONTACT_GAP:
+        if self._since is None or now - self._polled_at > CONTACT_GAP:
             return 0.0
         return now - self._since
 
@@ -53,7 +53,7 @@
         return self.seconds() >= VIEW_AGE
 
 
-async def answers_now(node, voter_addresses, roster, least_version=0):
+async def answers_now(node, voter_addresses, voting_config, least_version=0):
     """Whether a majority of the roster answers a question that is asked from here now, within MAJORITY_WAIT, and stands in
     this version of it or in a later one."""
 
@@ -64,7 +64,7 @@
 
     works = {node_id: ask(node_id, address) for node_id, address in voter_addresses.items()}
     try:
-        reached, _ = await within(node.reactor, MAJORITY_WAIT, quorum_of(works, roster.is_quorum))
+        reached, _ = await within(node.reactor, MAJORITY_WAIT, quorum_of(works, voting_config.is_quorum))
     except DeadlineExceededError:
         return False
     return reached
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -106,17 +106,17 @@
 
 
 class ReplicaDiscovery(SingletonTask):
-    """Invariant: `owners.pollTimes[replicas]` is when the last finished round began. `reachable` is what this node's
+    """Invariant: `leaders.pollTimes[replicas]` is when the last finished round began. `reachable` is what this node's
     own last look found; only the owner, and whom it asks, looks."""
 
-    def __init__(self, node, owners, voter, address, dialect=None):
+    def __init__(self, node, leaders, voter, address, dialect=None):
         bounds = node.env.get("bounds") or {}
         self._pause = (
             min(PLATFORM_PAUSE_MOST, bounds["leaving_s"] * PLATFORM_BOUND_SHARE)
             if "leaving_s" in bounds
             else PLATFORM_PAUSE
         )
-        super().__init__(node, owners, REPLICAS_KEY, self._pause / PLATFORM_TICKS)
+        super().__init__(node, leaders, REPLICAS_KEY, self._pause / PLATFORM_TICKS)
         self._voter, self._address = voter, address
         self._list_form = dialect or PlainReplicaList
         self._client = HttpClient(node.reactor, node.env["http"].rpartition(":")[0])
@@ -127,7 +127,7 @@
         self._due, self._due_for = float("-inf"), None
         self._take_env(node.env)
         node.watch_env(self._take_env)
-        owners.poll_times[REPLICAS_KEY] = float("-inf")
+        leaders.poll_times[REPLICAS_KEY] = float("-inf")
         node.net.handle("platformList", self._serve_list)
 
     def _take_env(self, env):
@@ -169,7 +169,7 @@
             raise  # it was asked too often, so the others need not ask too
         except OakrampError:
             pass
-        roster = self._voter.roster
+        voting_config = self._voter.voting_config
         works = {
             node_id: self._ask(address)
             for node_id, address in self._owners.voter_addresses().items()
@@ -179,7 +179,7 @@
         if reached:
             return next(iter(said.values()))
         away = {node_id for node_id, error in said.items() if isinstance(error, PlatformUnavailableError)}
-        if roster.is_quorum(away):
+        if voting_config.is_quorum(away):
             return None
         raise QuorumUnavailableError(f"only {len(away)} of the roster say that they cannot reach the platform")
 
--- a/packages/control/oakramp/control/replica_registry.py
+++ b/packages/control/oakramp/control/replica_registry.py
@@ -38,61 +38,63 @@
     return None if faulty & set(NEEDED) else {name: value for name, value in row.items() if name not in faulty}
 
 
-def _state(view, key):
-    return view.get(key) or {"version": 0, "replicas": {}}
+def _state(transaction, key):
+    return transaction.get(key) or {"version": 0, "replicas": {}}
 
 
 # replicas. Invariants: a replica once known to be leaving stays so until the list has dropped it; how long it is cold
 # stands as it was first told until it is over, so that the time that passes is not news.
 
 
-def _stands(row, former):
-    if former is None:
+def _stands(row, previous):
+    if previous is None:
         return row
-    if former["state"] == "leaving":
+    if previous["state"] == "leaving":
         row = row | {"state": "leaving"}
-    if row.get("cold_s") and former.get("cold_s"):
-        row = row | {"cold_s": former["cold_s"]}
+    if row.get("cold_s") and previous.get("cold_s"):
+        row = row | {"cold_s": previous["cold_s"]}
     return row
 
 
-def _set_list(view, key, arguments):
+def _set_list(transaction, key, arguments):
     check_fields({"replicas": list}, arguments)
-    state = _state(view, key)
-    former = state["replicas"]
-    replicas = {row["id"]: _stands(row, former.get(row["id"])) for row in arguments["replicas"]}
+    state = _state(transaction, key)
+    previous = state["replicas"]
+    replicas = {row["id"]: _stands(row, previous.get(row["id"])) for row in arguments["replicas"]}
     if len(replicas) != len(arguments["replicas"]):
         raise BadRequestError("a replica is listed twice")
-    if replicas == former:
+    if replicas == previous:
         return {"version": state["version"]}
     for replica_id, row in replicas.items():
-        if row != former.get(replica_id):
+        if row != previous.get(replica_id):
             check_fields(REPLICA, row)
-    view.put(key, {"version": state["version"] + 1, "replicas": replicas})
+    transaction.put(key, {"version": state["version"] + 1, "replicas": replicas})
     return {"version": state["version"]}
 
 
-def _mark_leaving(view, key, arguments):
+def _mark_leaving(transaction, key, arguments):
     check_fields({"id": NAME}, arguments)
-    state = _state(view, key)
+    state = _state(transaction, key)
     row = state["replicas"].get(arguments["id"])
     if row is None:
         raise NotFoundError(f"no replica {arguments['id']} is listed")
     if row["state"] != "leaving":
         replicas = state["replicas"] | {row["id"]: row | {"state": "leaving"}}
-        view.put(key, {"version": state["version"] + 1, "replicas": replicas})
+        transaction.put(key, {"version": state["version"] + 1, "replicas": replicas})
     return row | {"state": "leaving"}
 
 
-def _read_replicas(view, key, _arguments):
-    return _state(view, key)
+def _read_replicas(transaction, key, _arguments):
+    return _state(transaction, key)
 
 
-def _image_replicas(view, key):
-    state = _state(view, key)
+def _snapshot_replicas(transaction, key):
+    state = _state(transaction, key)
     return state["version"], {name: pack_json(row) for name, row in state["replicas"].items()}
 
 
 CONTROLLERS.enter(REPLICAS_KEY)(
-    Controller({"setList": _set_list, "markLeaving": _mark_leaving, "read": _read_replicas}, image=_image_replicas)
+    Controller(
+        {"setList": _set_list, "markLeaving": _mark_leaving, "read": _read_replicas}, snapshot=_snapshot_replicas
+    )
 )
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -14,8 +14,8 @@
 
 from oakramp.common.constants import (
     CALL_TIME,
-    IMAGE_PART,
     OUTRANKED_PATIENCE,
+    SNAPSHOT_PART,
     STEP_PAUSE,
     UNANSWERED_STEPS,
     UPDATE_LIMIT,
@@ -47,12 +47,12 @@
         waiting, self._waiting = self._waiting, []
         while waiting:
             (target, size), batch = (waiting[0][0], 0), []
-            while waiting and waiting[0][0] == target and (not batch or size + len(waiting[0][1]) <= IMAGE_PART):
+            while waiting and waiting[0][0] == target and (not batch or size + len(waiting[0][1]) <= SNAPSHOT_PART):
                 batch.append(waiting.pop(0))
                 size += len(batch[-1][1])
             self._call(*target, batch)
 
-    def _call(self, address, roster_version, batch):
+    def _call(self, address, voting_config_version, batch):
         self._calls += 1
         call = self._net.call(
             address,
@@ -60,7 +60,7 @@
             CALL_TIME,
             to=self._voter_id,
             owner=self._net.node_id,
-            roster_version=roster_version,
+            voting_config_version=voting_config_version,
             steps=[step for _, step, _ in batch],
         )
         call.addCallbacks(self._answered, self._failed, callbackArgs=(batch,), errbackArgs=(batch,))
@@ -86,9 +86,9 @@
     """One step, offered to the voters of one roster. `outcome` fires with (whether a majority has it, errors by voter)
     once that is certain."""
 
-    def __init__(self, roster, ends_at):
-        self._roster, self.ends_at = roster, ends_at
-        self._taken_by, self._pending, self._errors = set(), set(roster.everyone), {}
+    def __init__(self, voting_config, ends_at):
+        self._voting_config, self.ends_at = voting_config, ends_at
+        self._taken_by, self._pending, self._errors = set(), set(voting_config.everyone), {}
         self.outcome = defer.Deferred()
 
     def settle(self, node_id, error=None):
@@ -99,9 +99,9 @@
             self._taken_by.add(node_id)
         if self.outcome.called:
             return
-        if error is None and self._roster.is_quorum(self._taken_by):
+        if error is None and self._voting_config.is_quorum(self._taken_by):
             self.outcome.callback((True, {}))
-        elif error is not None and not self._roster.is_quorum(self._taken_by | self._pending):
+        elif error is not None and not self._voting_config.is_quorum(self._taken_by | self._pending):
             self.outcome.callback((False, dict(self._errors)))
 
     def give_up(self, node_id, error):
@@ -115,7 +115,7 @@
     return len(key) + len(value or b"") + ENTRY_COST
 
 
-NO_IMAGE = 0, 0  # (epoch, sequence); no step follows on it
+NO_SNAPSHOT = 0, 0  # (epoch, sequence); no step follows on it
 
 
 @dataclass
@@ -165,10 +165,10 @@
         """What changes from now on follows the newest state, which the voter has."""
         self.missing, self.missing_size = {}, 0
 
-    def begin_image(self, sequence):
+    def begin_snapshot(self, sequence):
         """What changes from now on follows the image of this sequence, which is about to be sent. What is confirmed of
         before it is no base any more."""
-        self.base, self.floor = NO_IMAGE, sequence
+        self.base, self.floor = NO_SNAPSHOT, sequence
         self.gather_anew()
 
     def until(self, sequence):
@@ -196,18 +196,18 @@
         self._epoch = epoch
         self._voters = {}
         self.newest, self.pending = 0, {}
-        self.newest_at_look = 0
+        self.newest_at_poll = 0
 
     def of(self, voter_id):
-        return self._voters.setdefault(voter_id, VoterProgress(NO_IMAGE))
+        return self._voters.setdefault(voter_id, VoterProgress(NO_SNAPSHOT))
 
-    def offer(self, sequence, changes, start, voter_ids, image_size):
+    def offer(self, sequence, changes, start, voter_ids, snapshot_size):
         """A step that is about to be given to these voters; the first one follows the image `start`."""
         if sequence == self.newest:
             return  # the same step, under the next roster
         if not self.newest:
             self._voters = {voter_id: VoterProgress(start, {}) for voter_id in voter_ids}
-        most = min(max(IMAGE_PART, image_size), UPDATE_LIMIT)
+        most = min(max(SNAPSHOT_PART, snapshot_size), UPDATE_LIMIT)
         for progress in self._voters.values():
             progress.add(changes, most)
             progress.unanswered += 1
@@ -230,7 +230,7 @@
 
     def is_behind(self, voter_id):
         """Whether the voter lacks what was the newest at the last look already."""
-        return self.confirmed(voter_id) < self.newest_at_look
+        return self.confirmed(voter_id) < self.newest_at_poll
 
     def is_stalled(self, voter_id):
         """Whether steps are not sent to the voter one by one any more, as it would have to take them in later in vain."""
@@ -253,56 +253,56 @@
 
     Invariants: at most one update for each slot and voter is under way, and at most one image to each voter."""
 
-    def __init__(self, owners, node, on_outranked):
-        """`on_outranked(slot, epoch)` is told of a voter that has promised a later epoch than this owner's."""
-        self._owners, self._net, self._log = owners, node.net, node.log
-        self._puller, self._reactor, self._seconds = node.puller, node.reactor, node.reactor.seconds
+    def __init__(self, leaders, node, on_outranked):
+        """`on_outranked(shard, epoch)` is told of a voter that has promised a later epoch than this owner's."""
+        self._owners, self._net, self._log = leaders, node.net, node.log
+        self._gossip_client, self._reactor, self._seconds = node.gossip_client, node.reactor, node.reactor.seconds
         self._on_outranked = on_outranked
-        self._image_locks = {}
+        self._snapshot_locks = {}
         self.behind = 0  # slots and voters; that lacked something at the last look
 
-    async def give(self, voter, roster_version, owner, sequence, changes, start, taken):
+    async def give(self, voter, voting_config_version, owner, sequence, changes, start, taken):
         """Returns once the voter has this step; `taken` is its answer to the first offer, if it gave one. `start` names
         the image that a take-over begins with: who has it needs nothing more."""
         if taken is None or taken.again:
-            taken = await self._accept(voter, roster_version, owner, sequence, changes.items(), base=start)
-        if taken.needs_image:
+            taken = await self._accept(voter, voting_config_version, owner, sequence, changes.items(), base=start)
+        if taken.needs_snapshot:
             progress = owner.progress.of(voter[0])
             if progress.base in (start, (owner.epoch, sequence - 1)):  # it has not even what this step follows
                 progress.forget_missing()
-            await self._reach(voter, roster_version, owner, sequence)
+            await self._reach(voter, voting_config_version, owner, sequence)
             return
         self._note(voter, owner, sequence, taken)
 
-    async def await_update(self, voter, roster_version, owner, sequence):
+    async def await_update(self, voter, voting_config_version, owner, sequence):
         """Returns once a stalled voter has this step by its update."""
-        if not self._puller.answers_lately(voter[1]):
+        if not self._gossip_client.answers_lately(voter[1]):
             raise OutcomeUnknownError("the voter has not answered lately")
-        reached = self._reach(voter, roster_version, owner, sequence)
+        reached = self._reach(voter, voting_config_version, owner, sequence)
         await within(self._reactor, CALL_TIME, reached, OutcomeUnknownError("the update of the voter takes long"))
 
-    def look(self, held, voters, roster_version):
+    def poll(self, held, voters, voting_config_version):
         """Starts updates of those who are behind and answer."""
         self.behind = 0
-        for slot, owner in held.items():
+        for shard, owner in held.items():
             progress = owner.progress
             late = [voter for voter in voters if progress.is_behind(voter[0])]
             self.behind += len(late)
             for voter in late:
-                if self._puller.answers_lately(voter[1]):
-                    spawn(self._reach(voter, roster_version, owner, progress.newest))
-            progress.newest_at_look = progress.newest
+                if self._gossip_client.answers_lately(voter[1]):
+                    spawn(self._reach(voter, voting_config_version, owner, progress.newest))
+            progress.newest_at_poll = progress.newest
             if progress.is_outranked([voter[0] for voter in voters], self._seconds()):
-                self._on_outranked(slot, owner)
+                self._on_outranked(shard, owner)
 
-    async def _reach(self, voter, roster_version, owner, sequence):
+    async def _reach(self, voter, voting_config_version, owner, sequence):
         progress = owner.progress.of(voter[0])
         reached = progress.until(sequence)
         if not progress.is_updating:
-            spawn(self._update(voter, roster_version, owner, progress), self._log)
+            spawn(self._update(voter, voting_config_version, owner, progress), self._log)
         await reached
 
-    async def _update(self, voter, roster_version, owner, progress):
+    async def _update(self, voter, voting_config_version, owner, progress):
         """Until the voter has all that was offered: from then on steps follow on what it has."""
         progress.is_updating = True
         error = QuorumUnavailableError("the update of this voter was broken off")
@@ -311,74 +311,76 @@
                 if owner.ended:
                     raise NotShardLeaderError("this slot is changing hands")
                 if progress.missing is None:
-                    await self._send_image(voter, roster_version, owner, progress)
+                    await self._send_snapshot(voter, voting_config_version, owner, progress)
                 else:
-                    await self._send_missing(voter, roster_version, owner, progress)
+                    await self._send_missing(voter, voting_config_version, owner, progress)
         except OakrampError as failed:
             error = failed
         finally:
             progress.is_updating = False
             progress.end_waiting(owner.progress.newest, error)
 
-    async def _send_missing(self, voter, roster_version, owner, progress):
+    async def _send_missing(self, voter, voting_config_version, owner, progress):
         """All that the voter lacks as one step."""
         sequence, changes = owner.progress.newest, dict(progress.missing)
-        taken = await self._accept(voter, roster_version, owner, sequence, changes.items(), base=progress.base)
-        if taken.needs_image:
+        taken = await self._accept(voter, voting_config_version, owner, sequence, changes.items(), base=progress.base)
+        if taken.needs_snapshot:
             progress.forget_missing()
             return
         self._note(voter, owner, sequence, taken)
 
-    async def _send_image(self, voter, roster_version, owner, progress):
+    async def _send_snapshot(self, voter, voting_config_version, owner, progress):
         """One long image to a voter at a time: many at once would each take longer than a call may."""
-        if owner.size <= IMAGE_PART:
-            await self._transfer_image(voter, roster_version, owner, progress)
+        if owner.size <= SNAPSHOT_PART:
+            await self._transfer_snapshot(voter, voting_config_version, owner, progress)
             return
-        lock = self._image_locks.setdefault(voter[0], defer.DeferredLock())
+        lock = self._snapshot_locks.setdefault(voter[0], defer.DeferredLock())
         has_waited = lock.locked
         await lock.acquire()
         try:
-            if has_waited and not self._puller.answers_lately(voter[1]):
+            if has_waited and not self._gossip_client.answers_lately(voter[1]):
                 raise QuorumUnavailableError("the voter does not answer")
-            await self._transfer_image(voter, roster_version, owner, progress)
+            await self._transfer_snapshot(voter, voting_config_version, owner, progress)
         finally:
             lock.release()
 
-    async def _transfer_image(self, voter, roster_version, owner, progress):
-        sequence, entries = owner.image_with(owner.progress.newest, owner.progress.pending)
-        progress.begin_image(sequence)
+    async def _transfer_snapshot(self, voter, voting_config_version, owner, progress):
+        sequence, entries = owner.snapshot_with(owner.progress.newest, owner.progress.pending)
+        progress.begin_snapshot(sequence)
         try:
-            taken = await self._give_image(voter, roster_version, owner, sequence, entries)
-            if taken.needs_image:
+            taken = await self._give_snapshot(voter, voting_config_version, owner, sequence, entries)
+            if taken.needs_snapshot:
                 raise QuorumUnavailableError("the voter has lost parts of the image")
             self._note(voter, owner, sequence, taken)
         except OakrampError:
             progress.forget_missing()
             raise
-        self._log.info("snapshot_sent", slot=owner.slot, voter=voter[0], sequence=sequence, entries=len(entries))
+        self._log.info("snapshot_sent", shard=owner.shard, voter=voter[0], sequence=sequence, entries=len(entries))
 
-    async def _give_image(self, voter, roster_version, owner, sequence, entries):
+    async def _give_snapshot(self, voter, voting_config_version, owner, sequence, entries):
         """In the order of the keys: so each try at one image has the same parts, and none is mixed up with a late one."""
-        *parts, last = in_parts(sorted(entries.items()), IMAGE_PART)
+        *parts, last = in_parts(sorted(entries.items()), SNAPSHOT_PART)
         for number, part in enumerate(parts):
-            taken = await self._give("stage", voter, roster_version, owner, sequence, part, part=number)
+            taken = await self._give("stage", voter, voting_config_version, owner, sequence, part, part=number)
             if not taken.taken:
                 return taken
-        return await self._give("accept", voter, roster_version, owner, sequence, last, whole=True, parts=len(parts))
+        return await self._give(
+            "accept", voter, voting_config_version, owner, sequence, last, whole=True, parts=len(parts)
+        )
 
     def _note(self, voter, owner, sequence, taken):
         """Takes in what a voter answered that did not lack anything."""
         if not taken.taken:
-            self._owners.note_epoch(owner.slot, taken.promised_epoch or 0)
+            self._owners.note_epoch(owner.shard, taken.promised_epoch or 0)
             owner.progress.outrank(voter[0], taken.promised_epoch, self._seconds())
             raise QuorumUnavailableError("the voter has promised a later epoch")
         owner.progress.confirm(voter[0], sequence)
 
-    def _accept(self, voter, roster_version, owner, sequence, pairs, base):
+    def _accept(self, voter, voting_config_version, owner, sequence, pairs, base):
         return self._give(
             "accept",
             voter,
-            roster_version,
+            voting_config_version,
             owner,
             sequence,
             pairs,
@@ -387,17 +389,17 @@
             from_sequence=base[1],
         )
 
-    def _give(self, method, voter, roster_version, owner, sequence, pairs, **more):
+    def _give(self, method, voter, voting_config_version, owner, sequence, pairs, **more):
         voter_id, address = voter
         return self._net.call(
             address,
             method,
             CALL_TIME,
             to=voter_id,
-            slot=owner.slot,
+            shard=owner.shard,
             epoch=owner.epoch,
             owner=self._net.node_id,
-            roster_version=roster_version,
+            voting_config_version=voting_config_version,
             sequence=sequence,
             entries=[idl.Entry(key=key, value=value) for key, value in pairs],
             **more,
--- a/packages/control/oakramp/control/reservation_numbers.py
+++ b/packages/control/oakramp/control/reservation_numbers.py
@@ -14,7 +14,7 @@
     return kept is not None and arguments["number"] <= kept.get("back", {}).get(arguments["gate"], 0)
 
 
-def note_back(view, kept, arguments):
-    members, back = view.context.members, kept.get("back", {})
+def note_back(transaction, kept, arguments):
+    members, back = transaction.context.members, kept.get("back", {})
     known = {gate: number for gate, number in back.items() if members.find(gate) is not None}
     return known | {arguments["gate"]: max(arguments["number"], back.get(arguments["gate"], 0))}
--- a/packages/control/oakramp/control/routing.py
+++ b/packages/control/oakramp/control/routing.py
@@ -181,8 +181,8 @@
 # --- the owned key -----------------------------------------------------------------
 
 
-def _head(view):
-    return view.get(ROUTING_KEY) or {"version": 0, "lists": [], "taken": 0}
+def _head(transaction):
+    return transaction.get(ROUTING_KEY) or {"version": 0, "lists": [], "taken": 0}
 
 
 def _row(piece):
@@ -193,11 +193,11 @@
     return f"{ROUTING_KEY}#taken/{fingerprint}"
 
 
-def _piece_names(view, head):
+def _piece_names(transaction, head):
     """The names of all pieces, by what the entries themselves say: changes of one batch see each other's."""
     if not head["version"]:
         return []
-    orders = {list_name: view.get(_row(f"{ORDER}{_quoted(list_name)}")) for list_name in head["lists"]}
+    orders = {list_name: transaction.get(_row(f"{ORDER}{_quoted(list_name)}")) for list_name in head["lists"]}
     return [
         REST,
         *(f"{ORDER}{_quoted(list_name)}" for list_name in orders),
@@ -205,19 +205,19 @@
     ]
 
 
-def _read(view, _key, arguments):
+def _read(transaction, _key, arguments):
     """The newest version, and its document unless the asker knows it."""
     check_fields({Optional("known"): VERSION}, arguments)
-    head = _head(view)
+    head = _head(transaction)
     if head["version"] in (0, arguments.get("known")):
         return {"version": head["version"]}
-    pieces = {piece: view.get(_row(piece)) for piece in _piece_names(view, head)}
+    pieces = {piece: transaction.get(_row(piece)) for piece in _piece_names(transaction, head)}
     return {"version": head["version"], "document": document_of(pieces)}
 
 
-def _known(view, fingerprint):
+def _known(transaction, fingerprint):
     """The version that this exact change made, or None."""
-    return view.get(_taken_row(fingerprint))
+    return transaction.get(_taken_row(fingerprint))
 
 
 def _turn(number):
@@ -225,18 +225,18 @@
     return f"{ROUTING_KEY}#turn/{number % CHANGES_REMEMBERED}"
 
 
-def _oldest_remembered(view, head):
+def _oldest_remembered(transaction, head):
     """The version that the oldest remembered change made; 0 as long as none has been forgotten."""
-    fingerprint = view.get(_turn(head["taken"]))
-    return 0 if fingerprint is None else _known(view, fingerprint)
+    fingerprint = transaction.get(_turn(head["taken"]))
+    return 0 if fingerprint is None else _known(transaction, fingerprint)
 
 
-def _refuse_past(view, head, based_on):
+def _refuse_past(transaction, head, based_on):
     """Refuses an unknown change that is built on a past version, if it surely was not taken. One that is built on the
     version of a remembered change would be remembered too; what an older one was built on is not known any more."""
     if based_on >= head["version"]:
         return
-    if based_on < _oldest_remembered(view, head):
+    if based_on < _oldest_remembered(transaction, head):
         raise QuorumUnavailableError(
             f"built on version {based_on}; changes of that age are not remembered, so it may have been taken",
             Verdict.MAYBE,
@@ -252,10 +252,10 @@
     return QuorumUnavailableError(f"built on version {based_on}, the newest is {head['version']}", Verdict.MAYBE)
 
 
-def _check_versions(view, head, arguments):
+def _check_versions(transaction, head, arguments):
     """Only what is built on the newest version, and is above it, goes on to be taken."""
     based_on, version = arguments["based_on"], arguments["version"]
-    _refuse_past(view, head, based_on)
+    _refuse_past(transaction, head, based_on)
     if version <= based_on:
         fault = f"version {version} is not above {based_on}"
         raise ValidationFailedError(fault, detail=[fault])
@@ -266,33 +266,33 @@
 CHANGE = {"based_on": VERSION, "version": whole(1, 1 << 53), "fingerprint": NAME}
 
 
-def _put(view, _key, arguments):
+def _put(transaction, _key, arguments):
     """A whole document."""
     check_fields(CHANGE | {"document": dict}, arguments)
-    known = _known(view, arguments["fingerprint"])
+    known = _known(transaction, arguments["fingerprint"])
     if known is not None:
         return {"version": known}
-    head = _head(view)
-    _check_versions(view, head, arguments)
-    former = dict.fromkeys(_piece_names(view, head))
-    return _take(view, head, arguments, former | pieces_of(arguments["document"]))
+    head = _head(transaction)
+    _check_versions(transaction, head, arguments)
+    previous = dict.fromkeys(_piece_names(transaction, head))
+    return _take(transaction, head, arguments, previous | pieces_of(arguments["document"]))
 
 
-def _change(view, _key, arguments):
+def _change(transaction, _key, arguments):
     """Only the pieces that differ from the version built on; None removes one."""
     check_fields(CHANGE | {"pieces": dict}, arguments)
-    known = _known(view, arguments["fingerprint"])
+    known = _known(transaction, arguments["fingerprint"])
     if known is not None:
         return {"version": known}
-    head = _head(view)
-    _check_versions(view, head, arguments)
-    return _take(view, head, arguments, arguments["pieces"])
+    head = _head(transaction)
+    _check_versions(transaction, head, arguments)
+    return _take(transaction, head, arguments, arguments["pieces"])
 
 
-def _take(view, head, arguments, changed):
+def _take(transaction, head, arguments, changed):
     for piece, value in changed.items():
-        if view.packed(_row(piece)) != pack_entry(value):
-            view.put(_row(piece), value)
+        if transaction.packed(_row(piece)) != pack_entry(value):
+            transaction.put(_row(piece), value)
     orders = {
         unquote(piece.removeprefix(ORDER), errors="surrogatepass"): value is not None
         for piece, value in changed.items()
@@ -300,35 +300,37 @@
     }
     lists = sorted({*head["lists"], *orders} - {name for name, stays in orders.items() if not stays})
     turn = _turn(head["taken"])
-    forgotten = view.get(turn)
+    forgotten = transaction.get(turn)
     if forgotten is not None:
-        view.put(_taken_row(forgotten), None)
-    view.put(turn, arguments["fingerprint"])
-    view.put(_taken_row(arguments["fingerprint"]), arguments["version"])
-    view.put(ROUTING_KEY, {"version": arguments["version"], "lists": lists, "taken": head["taken"] + 1})
+        transaction.put(_taken_row(forgotten), None)
+    transaction.put(turn, arguments["fingerprint"])
+    transaction.put(_taken_row(arguments["fingerprint"]), arguments["version"])
+    transaction.put(ROUTING_KEY, {"version": arguments["version"], "lists": lists, "taken": head["taken"] + 1})
     return {"version": arguments["version"]}
 
 
-def _outcome(view, _key, arguments):
+def _outcome(transaction, _key, arguments):
     """What became of a change that is built on another version than the newest. It changes nothing."""
     check_fields({"based_on": VERSION, "fingerprint": NAME}, arguments)
-    known = _known(view, arguments["fingerprint"])
+    known = _known(transaction, arguments["fingerprint"])
     if known is not None:
         return {"version": known}
-    head = _head(view)
-    _refuse_past(view, head, arguments["based_on"])
+    head = _head(transaction)
+    _refuse_past(transaction, head, arguments["based_on"])
     raise _not_yet(head, arguments["based_on"])
 
 
-def _image(view, _key):
-    head = _head(view)
-    values = {piece: view.packed(_row(piece)) for piece in _piece_names(view, head)}
+def _snapshot(transaction, _key):
+    head = _head(transaction)
+    values = {piece: transaction.packed(_row(piece)) for piece in _piece_names(transaction, head)}
     return head["version"], values and values | {VERSION_PIECE: pack_entry(head["version"])}
 
 
 # A change replaces what is there, so it is taken also when what adds up is refused for want of room.
 CONTROLLERS.enter(ROUTING_KEY)(
     Controller(
-        {"read": _read, "put": _put, "change": _change, "outcome": _outcome}, image=_image, replacing=("put", "change")
+        {"read": _read, "put": _put, "change": _change, "outcome": _outcome},
+        snapshot=_snapshot,
+        replacing=("put", "change"),
     )
 )
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -5,13 +5,13 @@
 from twisted.internet.defer import CancelledError
 
 from oakramp.common.constants import (
+    LEASE,
     MAJORITY_DOUBT,
     MAJORITY_WAIT,
     OPERATOR_RETRY,
     OWNER_TRIES_PAUSE,
     OWNER_TRY_TIME,
     SETTLE_TIME,
-    TERM,
 )
 from oakramp.common.errors import (
     NotShardLeaderError,
@@ -22,10 +22,10 @@
 )
 from oakramp.common.tasks import begin, shielded, sleep, spawn
 from oakramp.common.validation import pack_json
-from oakramp.control.controllers import SLOT_SOURCE
+from oakramp.control.controllers import SHARD_SOURCE
 from oakramp.control.leader_changes import LeaderChangeWatch
 from oakramp.control.quorum_contact import answers_now
-from oakramp.control.shards import slot_of_key
+from oakramp.control.shards import shard_of_key
 
 # Codes of errors that say nothing of the key: no answer came, or it came from who is no owner.
 NO_OWNERS_WORD = frozenset(["noAnswer", "unreachable", "overloaded", "timeSpent", "noMethod", "fenced"])
@@ -38,17 +38,17 @@
         self._node, self._is_silent = node, is_silent
         self._moves = LeaderChangeWatch(node, self._believed)
 
-    def _believed(self, slot):
-        rows = self._node.board.values(f"{SLOT_SOURCE}{slot}")
+    def _believed(self, shard):
+        rows = self._node.state_table.values(f"{SHARD_SOURCE}{shard}")
         return json.loads(rows["owner"])[2] if "owner" in rows else None
 
     def _any_control(self, tried):
         addresses = sorted({member.peer for member in self._node.members.live("control")} - tried)
         return self._node.random.choice(addresses) if addresses else None
 
-    def _successor(self, slot, address, tried):
+    def _successor(self, shard, address, tried):
         """Who owns the slot by the newest news, if that is not who was just asked nor who was tried before; else None."""
-        believed = self._believed(slot)
+        believed = self._believed(shard)
         return None if believed in tried | {address} else believed
 
     async def call_until_done(self, key, command, arguments):
@@ -62,12 +62,12 @@
     async def call(self, key, command, arguments, time_left):
         """The owner's answer. Raises what the owner said, if it was asked once; NoAnswer if an ask left and its
         outcome is not known; CannotTell if no owner could be asked at all."""
-        reactor, slot = self._node.reactor, slot_of_key(key)
+        reactor, shard = self._node.reactor, shard_of_key(key)
         ends_at = reactor.seconds() + time_left
         text, unsure, hint, tried, silent_until = pack_json(arguments).decode(), None, None, set(), {}
         believed = None
         while reactor.seconds() < ends_at:
-            if believed != (believed := self._believed(slot)):
+            if believed != (believed := self._believed(shard)):
                 tried.discard(believed)  # it was no owner when it was tried
             address = hint or believed
             # One that did not answer may have ended: for a while whoever takes its slots over is asked instead.
@@ -90,7 +90,7 @@
                         arguments_json=text,
                         onward=onward,
                     )
-                    return json.loads(await self._moves.answer_of(slot, address, call))
+                    return json.loads(await self._moves.answer_of(shard, address, call))
                 except NotShardLeaderError as error:
                     hint = error.detail if error.detail not in tried | silent else None
                 except OakrampError as error:
@@ -103,8 +103,8 @@
                         ) from None
                     if error.verdict is not Verdict.NO:
                         unsure = error
-                        silent_until[address] = reactor.seconds() + TERM
-                        hint = self._successor(slot, address, tried)
+                        silent_until[address] = reactor.seconds() + LEASE
+                        hint = self._successor(shard, address, tried)
             if hint is None:
                 await sleep(reactor, OWNER_TRIES_PAUSE)
                 if address is None or len(tried) > 2:
@@ -118,8 +118,8 @@
     """Asks owners for an operator. While a majority of the roster answers this node, an order may take its time, as during a
     take-over; as soon as none does, it ends with NoAnswer: what has left may still come through."""
 
-    def __init__(self, node, voter, owners, client):
-        self._node, self._voter, self._owners, self._client = node, voter, owners, client
+    def __init__(self, node, voter, leaders, client):
+        self._node, self._voter, self._owners, self._client = node, voter, leaders, client
 
     async def call(self, key, command, arguments, time_left):
         asking = begin(self._client.call(key, command, arguments, time_left))
@@ -146,5 +146,7 @@
             pause = MAJORITY_WAIT
 
     async def _reaches_majority(self):
-        roster = self._voter.roster
-        return roster is not None and await answers_now(self._node, self._owners.voter_addresses(), roster)
+        voting_config = self._voter.voting_config
+        return voting_config is not None and await answers_now(
+            self._node, self._owners.voter_addresses(), voting_config
+        )
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -9,25 +9,25 @@
 from oakramp.common.bounded_queue import BoundedQueue
 from oakramp.common.constants import (
     CALL_TIME,
+    CANDIDATE_TURN_TIME,
     CONDITION_AGE,
     CONTROL_BATCH,
-    CONTROL_INBOX,
+    CONTROL_QUEUE_LIMIT,
+    FAILOVER_POLL,
     FORGET_AGE,
     FULL_RETRY,
+    LEASE,
+    LEASE_FRESH,
+    LEASE_HELD,
+    LEASE_RENEW,
     ONWARD_TIME,
-    OWNER_SWEEP,
-    OWNER_SWEEP_KEYS,
+    OWNER_CLEANUP,
+    OWNER_CLEANUP_KEYS,
     RELEASE_TIME,
-    ROSTER_HEARD,
-    SLOTS,
-    STEP_IN_TIME,
-    TAKEOVER_LOOK,
-    TERM,
-    TERM_FRESH,
-    TERM_HELD,
-    TERM_RENEW,
+    SHARDS,
     VIEW_RETRY,
-    VOTERS_LOOK,
+    VOTERS_POLL,
+    VOTING_CONFIG_HEARD,
 )
 from oakramp.common.errors import (
     NotFoundError,
@@ -40,11 +40,11 @@
 )
 from oakramp.common.tasks import Repeater, drive, sleep, spawn, within
 from oakramp.common.validation import pack_json
-from oakramp.control.controllers import CONTROLLERS, SLOT_SOURCE, published_by, sweeps_for
+from oakramp.control.controllers import CONTROLLERS, SHARD_SOURCE, published_by, sweeps_for
 from oakramp.control.prepare_phase import PreparePhase, is_moving
 from oakramp.control.quorum_contact import QuorumContact
 from oakramp.control.replication import AppendBatcher, Proposal, ShardProgress, VoterUpdates
-from oakramp.control.shards import slot_of_key
+from oakramp.control.shards import shard_of_key
 from oakramp.control.transaction import Transaction
 from oakramp.membership.members import LIVE
 from oakramp.membership.rendezvous_hashing import ranked
@@ -56,7 +56,7 @@
 
 
 AFTER_ROWS = "$"  # sorts after the '#' of a key's own rows, and before every character of a name
-ROSTER_BITS = 20  # bits; of a slot source's version, below the epoch: rosters change far less often than that
+VOTING_CONFIG_BITS = 20  # bits; of a slot source's version, below the epoch: rosters change far less often than that
 
 
 class ShardLeader:
@@ -66,15 +66,15 @@
     - nothing is answered from it once `termUntil` has passed or `ended` is set;
     - no command is answered before what it changed, and all that it read, is on that majority."""
 
-    def __init__(self, owners, slot, epoch, entries, sequence):
-        self._owners, self.slot, self.epoch = owners, slot, epoch
+    def __init__(self, leaders, shard, epoch, entries, sequence):
+        self._owners, self.shard, self.epoch = leaders, shard, epoch
         self.entries, self.sequence = entries, sequence
         self.size = sum(len(key) + len(value) for key, value in entries.items())
-        self.sources = {f"{SLOT_SOURCE}{slot}"}
-        self.swept_to = ""
-        self._inbox = BoundedQueue(CONTROL_INBOX, f"slot{slot}")
-        self.term_until = 0.0
-        self.roster_version = 0
+        self.sources = {f"{SHARD_SOURCE}{shard}"}
+        self.cleaned_to = ""
+        self._queue = BoundedQueue(CONTROL_QUEUE_LIMIT, f"slot{shard}")
+        self.lease_until = 0.0
+        self.voting_config_version = 0
         self.confirmed = defer.Deferred()
         self.ended = False
         self.idle = True
@@ -86,19 +86,19 @@
         self._task = spawn(self._run(), self._owners.log)
 
     def lengthen(self, until):
-        self.term_until = max(self.term_until, until)
+        self.lease_until = max(self.lease_until, until)
         if not self.confirmed.called:
             self.confirmed.callback(None)
 
-    def holds_term(self):
-        return not self.ended and self._owners.reactor.seconds() < self.term_until
+    def holds_lease(self):
+        return not self.ended and self._owners.reactor.seconds() < self.lease_until
 
     def end(self):
         if self.ended:
             return
         self.ended = True
         self._owners.retract(self)
-        for _, answer in filter(None, self._inbox.take_ready(CONTROL_INBOX)):
+        for _, answer in filter(None, self._queue.take_ready(CONTROL_QUEUE_LIMIT)):
             answer.errback(NotShardLeaderError("this slot is changing hands"))
         if self._task is not None and self.idle:
             self._task.cancel()
@@ -106,49 +106,49 @@
     def do(self, key, command, arguments):
         return self._put(partial(self._command, key, command, arguments))
 
-    def sweep(self):
+    def cleanup(self):
         """Lets old things go of the next page of keys, all as one command; fires with what failed, as (key, error) pairs."""
-        pairs = sweeps_for(self.next_roots(OWNER_SWEEP_KEYS))
-        return self._put(partial(self._sweep_all, pairs)) if pairs else defer.succeed([])
+        pairs = sweeps_for(self.next_roots(OWNER_CLEANUP_KEYS))
+        return self._put(partial(self._cleanup_all, pairs)) if pairs else defer.succeed([])
 
     def _put(self, work):
-        if not self.holds_term():
-            raise NotShardLeaderError(f"no term for slot {self.slot}")
+        if not self.holds_lease():
+            raise NotShardLeaderError(f"no term for slot {self.shard}")
         answer = defer.Deferred()
-        self._inbox.put((work, answer))
+        self._queue.put((work, answer))
         return answer
 
     async def _run(self):
         while not self.ended:
             self.idle = True
-            first = await self._inbox.take()
+            first = await self._queue.take()
             self.idle = False
-            await self._work([first, *self._inbox.take_ready(CONTROL_BATCH - 1)])
+            await self._work([first, *self._queue.take_ready(CONTROL_BATCH - 1)])
 
     def write_again(self):
         """Asks for the image to be brought to the majorities of the present roster."""
-        if len(self._inbox) < CONTROL_INBOX:
-            self._inbox.put(None)
+        if len(self._queue) < CONTROL_QUEUE_LIMIT:
+            self._queue.put(None)
 
     async def _work(self, batch):
         write_again = None in batch
         batch = [entry for entry in batch if entry is not None]
-        view, outcomes = Transaction(self.entries, self._owners.context_for(self)), []
+        transaction, outcomes = Transaction(self.entries, self._owners.context_for(self)), []
         for work, answer in batch:
             try:
-                outcomes.append((answer, work(view)))
+                outcomes.append((answer, work(transaction)))
             except OakrampError as error:
                 outcomes.append((answer, error))
-        fault = await self._keep(dict(view.changes()), write_again)
+        fault = await self._keep(dict(transaction.changes()), write_again)
         for answer, outcome in outcomes:
             if fault is not None or isinstance(outcome, OakrampError):
                 answer.errback(fault or outcome)
                 continue
             answer.callback(outcome)
 
-    def _command(self, key, command, arguments, view):
+    def _command(self, key, command, arguments, transaction):
         """What the command gives; one that fails leaves nothing in the view."""
-        inner = view.nested()
+        inner = transaction.nested()
         try:
             controller = CONTROLLERS.find(key.partition("/")[0])
             if command in controller.growing:
@@ -161,14 +161,14 @@
         except Exception as error:
             self._owners.log.error("command_crashed", key=key, command=command, error=repr(error))
             raise OakrampError(f"{command} crashed", Verdict.NO) from error
-        view.fold(inner)
+        transaction.fold(inner)
         return result
 
-    def _sweep_all(self, pairs, view):
+    def _cleanup_all(self, pairs, transaction):
         failed = []
         for key, command in pairs:
             try:
-                self._command(key, command, {}, view)
+                self._command(key, command, {}, transaction)
             except OakrampError as error:
                 failed.append((key, error))
         return failed
@@ -182,7 +182,7 @@
             self.sequence += 1
             self._apply(changes)
             self._owners.publish(self, changes)
-        if not self.holds_term():
+        if not self.holds_lease():
             return (
                 OutcomeUnknownError("the term ended meanwhile; ask for the change by its id")
                 if changes
@@ -200,13 +200,13 @@
 
     def _apply(self, changes):
         for key, value in changes.items():
-            former = self.entries.pop(key, None)
-            self.size -= 0 if former is None else len(key) + len(former)
+            previous = self.entries.pop(key, None)
+            self.size -= 0 if previous is None else len(key) + len(previous)
             if value is not None:
                 self.entries[key] = value
                 self.size += len(key) + len(value)
 
-    def image_with(self, sequence, changes):
+    def snapshot_with(self, sequence, changes):
         """(sequence, entries) of the newest image that is at least as new as this change. While the change is on
         its way, it is not among the entries yet."""
         if sequence <= self.sequence:
@@ -217,11 +217,11 @@
         """The next keys that commands are for, in order, going round; each is found without the rows that hang
         on the one before."""
         roots = []
-        while len(roots) < most and (key := next(self.entries.irange(self.swept_to), None)) is not None:
+        while len(roots) < most and (key := next(self.entries.irange(self.cleaned_to), None)) is not None:
             roots.append(key.partition("#")[0])
-            self.swept_to = roots[-1] + AFTER_ROWS
+            self.cleaned_to = roots[-1] + AFTER_ROWS
         if len(roots) < most:
-            self.swept_to = ""
+            self.cleaned_to = ""
         return roots
 
 
@@ -229,24 +229,24 @@
     """One asking of a roster's voters for the terms of these owners. Invariant: `_confirmedBy` holds, for each slot that has
     not been confirmed by a majority yet, the voters that confirmed it after `askedAt`."""
 
-    def __init__(self, owners, roster, asked_at):
-        self.owners, self.roster, self.asked_at = owners, roster, asked_at
-        self._confirmed_by = {slot: set() for slot in owners}
+    def __init__(self, leaders, voting_config, asked_at):
+        self.leaders, self.voting_config, self.asked_at = leaders, voting_config, asked_at
+        self._confirmed_by = {shard: set() for shard in leaders}
 
-    def take(self, node_id, slots):
-        for slot in slots & self._confirmed_by.keys():
-            self._confirmed_by[slot].add(node_id)
-            if self.roster.is_quorum(self._confirmed_by[slot]):
-                self.owners[slot].lengthen(self.asked_at + TERM_HELD)
-                del self._confirmed_by[slot]
+    def take(self, node_id, shards):
+        for shard in shards & self._confirmed_by.keys():
+            self._confirmed_by[shard].add(node_id)
+            if self.voting_config.is_quorum(self._confirmed_by[shard]):
+                self.leaders[shard].lengthen(self.asked_at + LEASE_HELD)
+                del self._confirmed_by[shard]
 
 
 class LeaseRenewalPiggyback:
     """Sends the terms of a node's slots along with its pulls. Nobody waits for that: what is not confirmed so, for
     whatever reason, is asked for by calls at the next renewal, as if no pull had carried it."""
 
-    def __init__(self, owners, node):
-        self._owners, self._node = owners, node
+    def __init__(self, leaders, node):
+        self._owners, self._node = leaders, node
         self._round, self._voters = None, {}
 
     def begin_round(self):
@@ -263,25 +263,25 @@
         node_id, asked = self._voters.get(address), self._round
         if node_id is None:
             return None
-        terms = idl.Terms(
+        leases = idl.LeaseRenewal(
             voter=node_id,
-            roster_version=asked.roster.version,
-            slots=list(asked.owners),
-            epochs=[owner.epoch for owner in asked.owners.values()],
+            voting_config_version=asked.voting_config.version,
+            shards=list(asked.leaders),
+            epochs=[owner.epoch for owner in asked.leaders.values()],
         )
-        return terms, lambda slots: asked.take(node_id, set(slots))
+        return leases, lambda shards: asked.take(node_id, set(shards))
 
 
 class LeaderRegistry:
     """The slots this node owns, and the task that takes over those which it should own.
 
-    Invariants: a slot is in `held` only after its image under our epoch is on a majority and every
+    Invariants: a slot is in `active` only after its image under our epoch is on a majority and every
     earlier term has ended; `_orders` are the live ones in the order in which each slot is for them."""
 
     def __init__(self, node, voter):
         self.reactor, self._node, self._voter = node.reactor, node, voter
         self.log = node.log
-        self.held = {}
+        self.active = {}
         self._taking = set()
         self._seen_epochs = {}
         self._released_at = {}
@@ -294,13 +294,13 @@
         self._tasks = [
             Repeater(node.reactor, pause, round_function, node.log)
             for pause, round_function in (
-                (TAKEOVER_LOOK, self._look),
-                (TERM_RENEW, self._renew),
-                (OWNER_SWEEP, self._sweep),
-                (VOTERS_LOOK, self._update_voters),
+                (FAILOVER_POLL, self._poll),
+                (LEASE_RENEW, self._renew),
+                (OWNER_CLEANUP, self._cleanup),
+                (VOTERS_POLL, self._update_voters),
             )
         ]
-        voter.may_hold_term = self._may_hold_term
+        voter.may_hold_lease = self._may_hold_lease
         node.net.handle("ownerCall", self._serve_call)
         node.net.handle("release", self._serve_release)
 
@@ -314,10 +314,10 @@
         self._tasks[3].stop()
         # Whoever is named next asks for each slot; what nobody asked for is taken over after its term.
         for _ in range(20):
-            if not self.held:
+            if not self.active:
                 break
-            await sleep(self.reactor, TAKEOVER_LOOK)
-        for owner in list(self.held.values()):
+            await sleep(self.reactor, FAILOVER_POLL)
+        for owner in list(self.active.values()):
             owner.end()
         self._tasks[1].stop()
 
@@ -326,8 +326,8 @@
             self.reactor.seconds(),
             self._node.members,
             owner.marks,
-            self._voter.roster,
-            self._node.board,
+            self._voter.voting_config,
+            self._node.state_table,
             self._node.env.get("bounds"),
             self.contact,
             partial(self.refuse_full, owner),
@@ -337,10 +337,10 @@
 
     def voter_addresses(self):
         """Where each voter is, by its own word if it has been heard of."""
-        known = {node_id: self._node.members.find(node_id) for node_id in self._voter.roster.everyone}
+        known = {node_id: self._node.members.find(node_id) for node_id in self._voter.voting_config.everyone}
         return {
             node_id: known[node_id].peer if known[node_id] else peer
-            for node_id, peer in self._voter.roster.everyone.items()
+            for node_id, peer in self._voter.voting_config.everyone.items()
         }
 
     def ask_voters(self, method, voter_ids, time_left=CALL_TIME, **arguments):
@@ -349,7 +349,7 @@
                 address,
                 method,
                 time_left,
-                roster_version=self._voter.roster.version,
+                voting_config_version=self._voter.voting_config.version,
                 owner=self._node.node_id,
                 to=node_id,
                 **arguments,
@@ -361,9 +361,9 @@
     def refuse_full(self, owner):
         """Before anything is done: what would grow a state that has no more room is told no. What is open already
         still finds room to end."""
-        if owner.size > self._voter.slot_limit():
+        if owner.size > self._voter.shard_limit():
             raise StorageFullError(
-                f"slot {owner.slot} of the control state is full; end programs, or use other names",
+                f"slot {owner.shard} of the control state is full; end programs, or use other names",
                 retry_after=FULL_RETRY,
             )
         if self._voter.is_full():
@@ -373,28 +373,28 @@
         """A voter takes a long image beside the one that it has, so what makes a slot larger must leave room for that."""
         growth = owner.growth(changes)
         if growth > 0 and not self._voter.has_room(growth, owner.size + growth, len(owner.entries) + len(changes)):
-            raise StorageFullError(f"slot {owner.slot} would not fit a second time; take something out first")
+            raise StorageFullError(f"slot {owner.shard} would not fit a second time; take something out first")
 
     async def replicate(self, owner, sequence, changes, start=(0, 0)):
         """Whether a majority has this change, all under one roster. While voters pass from one roster to the
         next, the same change is offered again: who has it says so."""
         ends_at = self.reactor.seconds() + CALL_TIME
         while True:
-            roster = self._voter.roster
-            reached, errors = await self._offer(roster, owner, sequence, changes, start, ends_at)
+            voting_config = self._voter.voting_config
+            reached, errors = await self._offer(voting_config, owner, sequence, changes, start, ends_at)
             if reached:
-                owner.roster_version = roster.version
+                owner.voting_config_version = voting_config.version
                 return True
             if owner.ended or not any(map(is_moving, errors.values())) or self.reactor.seconds() >= ends_at:
                 return False
-            await sleep(self.reactor, TERM_RENEW / 4)
+            await sleep(self.reactor, LEASE_RENEW / 4)
 
-    def _offer(self, roster, owner, sequence, changes, start, ends_at):
-        offer, change = Proposal(roster, ends_at), (roster.version, owner, sequence, changes, start)
-        owner.progress.offer(sequence, changes, start, roster.everyone, owner.size)
+    def _offer(self, voting_config, owner, sequence, changes, start, ends_at):
+        offer, change = Proposal(voting_config, ends_at), (voting_config.version, owner, sequence, changes, start)
+        owner.progress.offer(sequence, changes, start, voting_config.everyone, owner.size)
         step = pack(
-            idl.Step(
-                slot=owner.slot,
+            idl.AppendEntries(
+                shard=owner.shard,
                 epoch=owner.epoch,
                 sequence=sequence,
                 entries=entries_of(changes.items()),
@@ -408,10 +408,10 @@
 
     def _offer_to(self, voter, offer, change, step):
         node_id, address = voter
-        roster_version, owner, sequence, *_ = change
+        voting_config_version, owner, sequence, *_ = change
         if owner.progress.is_stalled(node_id):
             self._settle_after(
-                self._updates.await_update(voter, roster_version, owner, sequence), voter, offer, change, step
+                self._updates.await_update(voter, voting_config_version, owner, sequence), voter, offer, change, step
             )
             return
         if node_id not in self._batchers:
@@ -437,38 +437,40 @@
     def _refused(self, voter, offer, change, step, error):
         """A voter that is passing to this roster is asked again by itself: else all would wait for one that is dead."""
         if is_moving(error):
-            self.reactor.callLater(TERM_RENEW / 4, self._offer_again, voter, offer, change, step, error)
+            self.reactor.callLater(LEASE_RENEW / 4, self._offer_again, voter, offer, change, step, error)
         else:
             offer.settle(voter[0], error)
 
     def _offer_again(self, voter, offer, change, step, error):
-        roster_version, owner = change[:2]
+        voting_config_version, owner = change[:2]
         if offer.outcome.called:
             return
-        if roster_version != self._voter.roster.version:
+        if voting_config_version != self._voter.voting_config.version:
             offer.give_up(voter[0], error)  # under the next roster it is offered to all anew
         elif owner.ended or self.reactor.seconds() >= offer.ends_at:
             offer.settle(voter[0], error)
         else:
             self._offer_to(voter, offer, change, step)
 
-    def note_epoch(self, slot, epoch):
+    def note_epoch(self, shard, epoch):
         """A voter has promised this epoch; a take-over of the slot by this node goes above it."""
-        self._seen_epochs[slot] = max(self._seen_epochs.get(slot, 0), epoch)
+        self._seen_epochs[shard] = max(self._seen_epochs.get(shard, 0), epoch)
 
     async def _update_voters(self):
-        if self.held:
-            self._updates.look(dict(self.held), list(self.voter_addresses().items()), self._voter.roster.version)
+        if self.active:
+            self._updates.poll(
+                dict(self.active), list(self.voter_addresses().items()), self._voter.voting_config.version
+            )
 
     @property
     def voters_behind(self):
         """Voters that lacked something at the last look, counted once for each slot that this node holds."""
-        return self._updates.behind if self.held else 0
+        return self._updates.behind if self.active else 0
 
-    def _on_outranked(self, slot, owner):
+    def _on_outranked(self, shard, owner):
         """A voter that has promised a later epoch takes no step of this one, and nobody serves under that. So the slot is
         taken over anew, under an epoch above."""
-        self.log.info("epoch_superseded", slot=slot, epoch=owner.epoch, seen=self._seen_epochs.get(slot, 0))
+        self.log.info("epoch_superseded", shard=shard, epoch=owner.epoch, seen=self._seen_epochs.get(shard, 0))
         owner.end()
 
     # --- terms ---
@@ -477,238 +479,246 @@
         """Starts one round of confirmations; the answers lengthen the terms as they come in, so that a slow
         voter holds up neither the others nor the next round."""
         now = self.reactor.seconds()
-        for slot, owner in list(self.held.items()):
-            if now > owner.term_until + TERM:
-                self.log.warning("lease_lost", slot=slot, epoch=owner.epoch)
+        for shard, owner in list(self.active.items()):
+            if now > owner.lease_until + LEASE:
+                self.log.warning("lease_lost", shard=shard, epoch=owner.epoch)
                 owner.end()
         if any(
-            owner.term_until < now + TERM_HELD - TERM_FRESH for owner in self.held.values()
+            owner.lease_until < now + LEASE_HELD - LEASE_FRESH for owner in self.active.values()
         ):  # else pulls have done it
-            self._confirm(dict(self.held))
-        for owner in self.held.values():
-            if owner.roster_version < self._voter.roster.version:
+            self._confirm(dict(self.active))
+        for owner in self.active.values():
+            if owner.voting_config_version < self._voter.voting_config.version:
                 owner.write_again()
 
     def begin_confirmation(self):
         """A round for all slots that are held, or None."""
-        return LeaseRound(dict(self.held), self._voter.roster, self.reactor.seconds()) if self.held else None
+        return LeaseRound(dict(self.active), self._voter.voting_config, self.reactor.seconds()) if self.active else None
 
-    def _confirm(self, owners):
-        if owners:
-            asked = LeaseRound(owners, self._voter.roster, self.reactor.seconds())
-            self.confirm_at(asked, asked.roster.everyone)
+    def _confirm(self, leaders):
+        if leaders:
+            asked = LeaseRound(leaders, self._voter.voting_config, self.reactor.seconds())
+            self.confirm_at(asked, asked.voting_config.everyone)
 
     def confirm_at(self, asked, voter_ids):
         """Asks these voters by a call of its own each."""
-        terms = [idl.SlotEpoch(slot=slot, epoch=owner.epoch) for slot, owner in asked.owners.items()]
+        leases = [idl.ShardEpoch(shard=shard, epoch=owner.epoch) for shard, owner in asked.leaders.items()]
 
         async def ask(node_id, answer):
-            asked.take(node_id, {term.slot for term in await answer})
+            asked.take(node_id, {lease.shard for lease in await answer})
 
-        for node_id, answer in self.ask_voters("confirm", voter_ids, terms=terms).items():
+        for node_id, answer in self.ask_voters("confirm", voter_ids, leases=leases).items():
             spawn(ask(node_id, answer))
 
     # --- taking over ---
 
-    def _live_roster(self):
+    def _live_voting_config(self):
         members = self._node.members
         return [
             node_id
-            for node_id, peer in self._voter.roster.named.items()
+            for node_id, peer in self._voter.voting_config.named.items()
             if members.condition(node_id) == LIVE and members.successor_of(node_id, peer) is None
         ]
 
-    async def _look(self):
-        roster = self._voter.roster
-        if roster is None:
+    async def _poll(self):
+        voting_config = self._voter.voting_config
+        if voting_config is None:
             return
         answering = {
-            node_id for node_id, address in self.voter_addresses().items() if self._node.puller.answers_lately(address)
+            node_id
+            for node_id, address in self.voter_addresses().items()
+            if self._node.gossip_client.answers_lately(address)
         }
-        is_parted = not roster.is_quorum(answering)
-        self.contact.look(not is_parted)
-        if self._node.node_id not in roster.everyone:
-            self._say_parted(False)  # who has no vote needs no majority; while it says so, it would not be let in again
-            for owner in list(self.held.values()):
+        is_partitioned = not voting_config.is_quorum(answering)
+        self.contact.poll(not is_partitioned)
+        if self._node.node_id not in voting_config.everyone:
+            self._say_partitioned(
+                False
+            )  # who has no vote needs no majority; while it says so, it would not be let in again
+            for owner in list(self.active.values()):
                 owner.end()
             return
         # Only who has answers from a majority may disturb an owner: one that is heard but hears nobody would
         # end every term with its prepares.
-        self._say_parted(is_parted)
-        if is_parted:
+        self._say_partitioned(is_partitioned)
+        if is_partitioned:
             return
-        live_ids = self._live_roster()
-        for slot in range(SLOTS):
-            is_free = self.is_free(slot) and not self._is_given_away(slot)
-            if is_free and self._is_for_me(slot, live_ids):
-                self.begin_take_over(slot)
+        live_ids = self._live_voting_config()
+        for shard in range(SHARDS):
+            is_free = self.is_free(shard) and not self._is_given_away(shard)
+            if is_free and self._is_for_me(shard, live_ids):
+                self.begin_failover(shard)
 
-    def is_free(self, slot):
+    def is_free(self, shard):
         """Whether this node neither holds the slot nor is taking it over."""
-        return slot not in self.held and slot not in self._taking
+        return shard not in self.active and shard not in self._taking
 
-    def former_owner(self, slot):
+    def previous_owner(self, shard):
         """The node that is known to have held the slot last, by the confirmations of the voter here and by news; None if
         there is none. Who only seeks the slot is not meant: it may be about to have it."""
-        holder, believed = self._voter.last_holder(slot), self.believed_owner(slot)
+        holder, believed = self._voter.last_holder(shard), self.believed_owner(shard)
         return max(holder, believed[:2] if believed else holder)[1]
 
-    def is_next(self, slot, suspects):
+    def is_next(self, shard, suspects):
         """Whether the slot is for this node, once the suspects are left out."""
-        candidates = [node_id for node_id in self._live_roster() if node_id not in suspects]
-        return bool(candidates) and ranked(candidates, f"slot{slot}")[0] == self._node.node_id
+        candidates = [node_id for node_id in self._live_voting_config() if node_id not in suspects]
+        return bool(candidates) and ranked(candidates, f"slot{shard}")[0] == self._node.node_id
 
-    def begin_take_over(self, slot, lapsed=False):
-        """`lapsed`: a majority says that the former lease has ended, so its owner is not asked to release the slot."""
-        self._taking.add(slot)
-        spawn(self._take_over(slot, self._live_roster(), lapsed), self.log)
+    def begin_failover(self, shard, expired=False):
+        """`expired`: a majority says that the former lease has ended, so its owner is not asked to release the slot."""
+        self._taking.add(shard)
+        spawn(self._failover(shard, self._live_voting_config(), expired), self.log)
 
-    def _is_given_away(self, slot):
+    def _is_given_away(self, shard):
         """Whether another member has asked this one for the slot within a term. It may not count as live here yet, as one
         that is just back from a cut; a take-over beside its own would hold the slot up."""
-        return self.reactor.seconds() < self._released_at.get(slot, float("-inf")) + TERM
+        return self.reactor.seconds() < self._released_at.get(shard, float("-inf")) + LEASE
 
-    def _say_parted(self, is_parted):
+    def _say_partitioned(self, is_partitioned):
         """A member that hears no majority says so, as far as it is still heard: slots are named for others at once,
         without a turn of its own that it could not use."""
-        state, me = "parted" if is_parted else "up", self._node.puller.me
+        state, me = "parted" if is_partitioned else "up", self._node.gossip_client.me
         is_new = self.reactor.seconds() - self._started_at < CONDITION_AGE
-        if me.state not in (state, "leaving") and not (is_parted and is_new):
-            self._node.puller.describe(replace(me, state=state))
-            self.log.info("member_partitioned" if is_parted else "member_rejoined")
+        if me.state not in (state, "leaving") and not (is_partitioned and is_new):
+            self._node.gossip_client.describe(replace(me, state=state))
+            self.log.info("member_partitioned" if is_partitioned else "member_rejoined")
 
-    def _is_for_me(self, slot, live_ids):
+    def _is_for_me(self, shard, live_ids):
         """The slot is for the first live one named for it. If that one is seen to live, but the slot stays
         without an owner (a cut may part it from the voters only), the next ones step in, one after another; the
         first of them only after the one named first has had its own turn."""
-        order = self._order(slot, tuple(live_ids))
+        order = self._order(shard, tuple(live_ids))
         if self._node.node_id not in order:
             return False
         place = order.index(self._node.node_id)
-        ownerless = min(self._node.board.age(f"{SLOT_SOURCE}{slot}"), self.reactor.seconds() - self._started_at)
-        late = ownerless - CONDITION_AGE - STEP_IN_TIME
-        return place == (0 if late <= 0 else (1 + int(late / STEP_IN_TIME)) % len(order))
+        ownerless = min(self._node.state_table.age(f"{SHARD_SOURCE}{shard}"), self.reactor.seconds() - self._started_at)
+        late = ownerless - CONDITION_AGE - CANDIDATE_TURN_TIME
+        return place == (0 if late <= 0 else (1 + int(late / CANDIDATE_TURN_TIME)) % len(order))
 
-    def _order(self, slot, live_ids):
+    def _order(self, shard, live_ids):
         if self._orders[0] != live_ids:
-            self._orders = live_ids, [ranked(live_ids, f"slot{number}") for number in range(SLOTS)]
-        return self._orders[1][slot]
+            self._orders = live_ids, [ranked(live_ids, f"slot{number}") for number in range(SHARDS)]
+        return self._orders[1][shard]
 
-    def believed_owner(self, slot):
+    def believed_owner(self, shard):
         """(epoch, nodeId, address) of the slot's newest owner that this node has heard of, or None."""
-        rows = self._node.board.values(f"{SLOT_SOURCE}{slot}")
+        rows = self._node.state_table.values(f"{SHARD_SOURCE}{shard}")
         return tuple(json.loads(rows["owner"])) if "owner" in rows else None
 
-    async def _take_over(self, slot, live_ids, lapsed=False):
-        believed = self.believed_owner(slot)
+    async def _failover(self, shard, live_ids, expired=False):
+        believed = self.believed_owner(shard)
         self.log.info(
             "failover_started",
-            slot=slot,
+            shard=shard,
             after=believed[1] if believed else "nobody",
             live=len(live_ids),
-            silent=round(min(self._node.board.age(f"{SLOT_SOURCE}{slot}"), FORGET_AGE), 2),
-            lapsed="yes" if lapsed else "no",
+            silent=round(min(self._node.state_table.age(f"{SHARD_SOURCE}{shard}"), FORGET_AGE), 2),
+            expired="yes" if expired else "no",
         )
         try:
-            released = None if lapsed else await self._ask_release(slot)
-            await self._prepare_and_serve(slot, released)
+            released = None if expired else await self._ask_release(shard)
+            await self._prepare_and_serve(shard, released)
         except OakrampError as error:
-            self.log.warning("failover_failed", slot=slot, reason=error.reason)
+            self.log.warning("failover_failed", shard=shard, reason=error.reason)
             await sleep(self.reactor, self._node.random.uniform(0.1, 0.5))
         finally:
-            self._taking.discard(slot)
-
-    async def _ask_release(self, slot):
-        believed = self.believed_owner(slot)
-        if believed is None or believed[1] not in self._voter.roster.everyone or believed[1] == self._node.node_id:
+            self._taking.discard(shard)
+
+    async def _ask_release(self, shard):
+        believed = self.believed_owner(shard)
+        if (
+            believed is None
+            or believed[1] not in self._voter.voting_config.everyone
+            or believed[1] == self._node.node_id
+        ):
             return None
         if self._node.members.condition(believed[1]) not in (LIVE, "leaving"):
             return None
         try:
-            return await self._node.net.call(believed[2], "release", RELEASE_TIME, slot=slot)
+            return await self._node.net.call(believed[2], "release", RELEASE_TIME, shard=shard)
         except OakrampError as error:
-            self.log.warning("shard_release_unanswered", slot=slot, owner=believed[1], reason=error.reason)
+            self.log.warning("shard_release_unanswered", shard=shard, owner=believed[1], reason=error.reason)
             return None
 
-    def _next_epoch(self, slot, released_epoch):
-        believed = self.believed_owner(slot)
-        seen = self._seen_epochs.get(slot, 0), believed[0] if believed else 0
-        return max(*seen, released_epoch or 0, self._voter.promised_epoch(slot)) + 1
+    def _next_epoch(self, shard, released_epoch):
+        believed = self.believed_owner(shard)
+        seen = self._seen_epochs.get(shard, 0), believed[0] if believed else 0
+        return max(*seen, released_epoch or 0, self._voter.promised_epoch(shard)) + 1
 
-    async def _prepare_and_serve(self, slot, released_epoch):
-        epoch = self._next_epoch(slot, released_epoch)
-        self._seen_epochs[slot] = epoch
-        preparation = PreparePhase(self, self._node, self._voter, slot, epoch)
+    async def _prepare_and_serve(self, shard, released_epoch):
+        epoch = self._next_epoch(shard, released_epoch)
+        self._seen_epochs[shard] = epoch
+        preparation = PreparePhase(self, self._node, self._voter, shard, epoch)
         await preparation.prepare()
         newest, start = preparation.newest()
-        entries = await preparation.fetch_image(newest)
-        owner = ShardLeader(self, slot, epoch, entries, 0)
+        entries = await preparation.fetch_snapshot(newest)
+        owner = ShardLeader(self, shard, epoch, entries, 0)
         if not await self.replicate(owner, 1, {}, start):
             raise QuorumUnavailableError(f"the image of epoch {epoch} did not reach a majority")
-        await preparation.former_lease_ended(released_epoch)
-        spawn(self._ask_until_confirmed(owner, self._voter.roster.version), self.log)
-        await within(self.reactor, TERM, owner.confirmed, QuorumUnavailableError(f"epoch {epoch} was not confirmed"))
+        await preparation.previous_lease_ended(released_epoch)
+        spawn(self._ask_until_confirmed(owner, self._voter.voting_config.version), self.log)
+        await within(self.reactor, LEASE, owner.confirmed, QuorumUnavailableError(f"epoch {epoch} was not confirmed"))
         owner.sequence = 1
-        self.held[slot] = owner
+        self.active[shard] = owner
         owner.serve()
         self.publish(owner, entries)
         self.log.info(
-            "shard_leader_elected", slot=slot, epoch=epoch, entries=len(entries), released=released_epoch or "no"
+            "shard_leader_elected", shard=shard, epoch=epoch, entries=len(entries), released=released_epoch or "no"
         )
 
-    async def _ask_until_confirmed(self, owner, roster_version):
+    async def _ask_until_confirmed(self, owner, voting_config_version):
         """Asks for an owner's first term, again and again while voters pass to this roster. Under a later one nothing is
         asked: its majority need not hold what was prepared."""
-        while not owner.confirmed.called and self._voter.roster.version == roster_version:
-            self._confirm({owner.slot: owner})
-            await sleep(self.reactor, TERM_RENEW / 4)
+        while not owner.confirmed.called and self._voter.voting_config.version == voting_config_version:
+            self._confirm({owner.shard: owner})
+            await sleep(self.reactor, LEASE_RENEW / 4)
 
-    def _may_hold_term(self, slot, asker):
+    def _may_hold_lease(self, shard, requester):
         """Whether this process has a term of the slot, or may come to one by a take-over that the asker's does not follow."""
-        return slot in self.held or (slot in self._taking and asker != self._node.node_id)
+        return shard in self.active or (shard in self._taking and requester != self._node.node_id)
 
     async def _serve_release(self, _peer, arguments):
-        owner = self.held.get(arguments.slot)
+        owner = self.active.get(arguments.shard)
         if owner is None:
             return None
         owner.end()
-        self._released_at[arguments.slot] = self.reactor.seconds()
-        self.log.info("shard_released", slot=arguments.slot, epoch=owner.epoch)
+        self._released_at[arguments.shard] = self.reactor.seconds()
+        self.log.info("shard_released", shard=arguments.shard, epoch=owner.epoch)
         return owner.epoch
 
     # --- news ---
 
     def retract(self, owner):
-        if self.held.get(owner.slot) is owner:
-            del self.held[owner.slot]
+        if self.active.get(owner.shard) is owner:
+            del self.active[owner.shard]
         for source in owner.sources:
-            self._node.board.retract(source)
+            self._node.state_table.retract(source)
 
     def publish(self, owner, changes):
         if owner.ended:
             return  # while the change was on its way: who speaks for a source takes no news of it from the next owner
-        source = f"{SLOT_SOURCE}{owner.slot}"
-        self._node.board.publish(source, lambda: self._vouch(owner))
-        self._node.board.set_items(
+        source = f"{SHARD_SOURCE}{owner.shard}"
+        self._node.state_table.publish(source, lambda: self._vouch(owner))
+        self._node.state_table.set_items(
             source,
-            (owner.epoch << ROSTER_BITS) + owner.roster_version,
+            (owner.epoch << VOTING_CONFIG_BITS) + owner.voting_config_version,
             {
                 "owner": pack_json([owner.epoch, self._node.node_id, self._node.net.address]),
-                "roster": pack_json(owner.roster_version),
+                "roster": pack_json(owner.voting_config_version),
             },
         )
-        view = Transaction(owner.entries, None)
+        transaction = Transaction(owner.entries, None)
         for published in sorted({published_by(key) for key in changes} - {None}):
             owner.sources.add(published)
             controller = CONTROLLERS.find(published.partition("/")[0])
-            version, values = controller.image(view, published)
-            self._node.board.publish(published, lambda published=published: self._vouch_for(owner, published))
-            self._node.board.set_items(published, version, values)
+            version, values = controller.snapshot(transaction, published)
+            self._node.state_table.publish(published, lambda published=published: self._vouch_for(owner, published))
+            self._node.state_table.set_items(published, version, values)
 
     def _vouch(self, owner):
         """The time is read first: were this process frozen after it has looked at the term, a later one would be untrue."""
         now = self.reactor.seconds()
-        return now if owner.holds_term() else None
+        return now if owner.holds_lease() else None
 
     def _vouch_for(self, owner, published):
         """What hangs on a duty is only as new as the duty's last round."""
@@ -735,28 +745,30 @@
         )
 
     def _is_heard(self, address):
-        return address not in (None, self._node.net.address) and self._node.puller.answers_lately(address, ROSTER_HEARD)
+        return address not in (None, self._node.net.address) and self._node.gossip_client.answers_lately(
+            address, VOTING_CONFIG_HEARD
+        )
 
     async def call(self, key, command, arguments):
-        slot = slot_of_key(key)
-        owner = self.held.get(slot)
+        shard = shard_of_key(key)
+        owner = self.active.get(shard)
         if owner is None:
-            believed = self.believed_owner(slot)
-            raise NotShardLeaderError(f"slot {slot} is owned elsewhere", detail=believed and believed[2])
+            believed = self.believed_owner(shard)
+            raise NotShardLeaderError(f"slot {shard} is owned elsewhere", detail=believed and believed[2])
         return await owner.do(key, command, arguments)
 
-    async def _sweep(self):
+    async def _cleanup(self):
         """A page of each slot, as one command."""
-        for owner in list(self.held.values()):
-            if not owner.holds_term():
+        for owner in list(self.active.values()):
+            if not owner.holds_lease():
                 continue
             try:
-                failed = await owner.sweep()
+                failed = await owner.cleanup()
             except OakrampError as error:
-                self.log.warning("cleanup_failed", slot=owner.slot, reason=str(error))
+                self.log.warning("cleanup_failed", shard=owner.shard, reason=str(error))
                 continue
             for key, error in failed:
-                self.log.warning("cleanup_failed", slot=owner.slot, key=key, reason=str(error))
+                self.log.warning("cleanup_failed", shard=owner.shard, key=key, reason=str(error))
 
 
 class CommandContext:
@@ -765,8 +777,16 @@
     ownership: key -> time since which the key counts. `refuse_full` is for commands that grow the state only where they are
     no repeat."""
 
-    def __init__(self, now, members, marks, roster, board, bounds=None, contact=None, refuse_full=lambda: None):
-        self.now, self.members, self.marks, self.roster, self.board = now, members, marks, roster, board
+    def __init__(
+        self, now, members, marks, voting_config, state_table, bounds=None, contact=None, refuse_full=lambda: None
+    ):
+        self.now, self.members, self.marks, self.voting_config, self.state_table = (
+            now,
+            members,
+            marks,
+            voting_config,
+            state_table,
+        )
         self.bounds = bounds or {}
         self._contact = contact
         self.refuse_full = refuse_full
--- a/packages/control/oakramp/control/shards.py
+++ b/packages/control/oakramp/control/shards.py
@@ -3,18 +3,18 @@
 import json
 import zlib
 
-from oakramp.common.constants import ENTRY_LIMIT, SLOTS
+from oakramp.common.constants import ENTRY_LIMIT, SHARDS
 from oakramp.common.errors import TooLargeError
 from oakramp.common.validation import pack_json
-from oakramp.membership.rendezvous_hashing import slot_of
+from oakramp.membership.rendezvous_hashing import shard_of
 
 ENTRY_COST = 64  # bytes; what an entry takes besides its key and value, in messages and on the disk, at most
 PACK_FROM = 4096  # bytes; below this an entry is not worth compressing
 
 
-def slot_of_key(key):
+def shard_of_key(key):
     """What hangs on a key, behind its '#', is in the key's slot."""
-    return slot_of(key.partition("#")[0], SLOTS)
+    return shard_of(key.partition("#")[0], SHARDS)
 
 
 def in_parts(entries, most):
--- a/packages/control/oakramp/control/singleton_task.py
+++ b/packages/control/oakramp/control/singleton_task.py
@@ -2,12 +2,12 @@
 former holder still asks for is fenced by the slot's epoch or lost against a newer version."""
 
 from oakramp.common.tasks import Repeater
-from oakramp.control.shards import slot_of_key
+from oakramp.control.shards import shard_of_key
 
 
 class SingletonTask:
-    def __init__(self, node, owners, key, pause):
-        self._node, self._owners, self._slot = node, owners, slot_of_key(key)
+    def __init__(self, node, leaders, key, pause):
+        self._node, self._owners, self._shard = node, leaders, shard_of_key(key)
         self._repeater = Repeater(node.reactor, pause, self._round, node.log)
 
     def start(self):
@@ -17,7 +17,7 @@
         self._repeater.stop()
 
     async def _round(self):
-        owner = self._owners.held.get(self._slot)
+        owner = self._owners.active.get(self._shard)
         if owner is not None:
             await self._work(owner)
 
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -40,9 +40,9 @@
     STORES_ASK,
     STORES_FIRST_WAIT,
     STORES_JOIN_TIME,
-    STORES_LOOK,
     STORES_MOVING_PAUSE,
     STORES_PATIENCE,
+    STORES_POLL,
 )
 from oakramp.common.errors import (
     ConflictError,
@@ -93,8 +93,8 @@
         self.pruned = frozenset(record["pruned"])
 
     @classmethod
-    def from_board(cls, board):
-        rows = board.values(STORES_KEY)
+    def from_state_table(cls, state_table):
+        rows = state_table.values(STORES_KEY)
         return cls(json.loads(rows["set"]) if "set" in rows else EMPTY)
 
     def is_written(self, node_ids):
@@ -109,13 +109,13 @@
     return len(members) // 2 + 1
 
 
-def _record(view):
-    return view.get(STORES_KEY) or EMPTY
+def _record(transaction):
+    return transaction.get(STORES_KEY) or EMPTY
 
 
-def _put(view, record, **changes):
+def _put(transaction, record, **changes):
     record = record | changes | {"version": record["version"] + 1}
-    view.put(STORES_KEY, record)
+    transaction.put(STORES_KEY, record)
     return record
 
 
@@ -126,7 +126,7 @@
         )
 
 
-def _set(view, _key, arguments):
+def _set(transaction, _key, arguments):
     """The first set, of stores that are all empty."""
     check_fields(
         {
@@ -138,18 +138,18 @@
     )
     for member in arguments["members"]:
         check_fields(STORE, member)
-    record, members = _record(view), [row | {"since": 1} for row in arguments["members"]]
+    record, members = _record(transaction), [row | {"since": 1} for row in arguments["members"]]
     if record["version"] and record["members"] == members:
         return record
     if record["version"]:
         raise ConflictError("there is a store set already; change it by replacing one store at a time")
     # How many losses it is to bear, which also says how many stores there have to be.
-    return _put(view, record, members=members, losses=arguments.get("losses") or max(1, len(members) // 2))
+    return _put(transaction, record, members=members, losses=arguments.get("losses") or max(1, len(members) // 2))
 
 
-def _replace(view, _key, arguments):
+def _replace(transaction, _key, arguments):
     check_fields({"basedOn": whole(0, 1 << 53), "leaving": NAME, "joining": STORE}, arguments)
-    record, members = _record(view), view.context.members
+    record, members = _record(transaction), transaction.context.members
     leaving, joining = arguments["leaving"], arguments["joining"]
     ids = [row["nodeId"] for row in record["members"]]
     if record["leaving"] == leaving and (record["joining"] or {}).get("nodeId") == joining["nodeId"]:
@@ -164,25 +164,27 @@
     fewer = [node_id for node_id in ids if node_id != leaving and members.condition(node_id) != LIVE]
     if fewer:
         error = RequestRejectedError(f"{', '.join(fewer)} is not live; without {leaving} too few copies would be left")
-        raise view.context.refusal(error)
-    return _begin_joining(view, record, leaving, joining)
+        raise transaction.context.refusal(error)
+    return _begin_joining(transaction, record, leaving, joining)
 
 
-def _begin_joining(view, record, leaving, joining):
-    members = view.context.members
-    newcomer = members.find(joining["nodeId"])
-    if newcomer is None or newcomer.kind != "store" or members.condition(joining["nodeId"]) != LIVE:
-        raise view.context.refusal(RequestRejectedError(f"{joining['nodeId']} is not a live store of this cluster"))
-    if newcomer.machine in record.get("emptied", ()):
-        raise RequestRejectedError(f"{newcomer.machine} is being emptied, or was")
-    return _put(view, record, phase=JOINING, leaving=leaving, joining=joining | {"since": record["version"] + 1})
+def _begin_joining(transaction, record, leaving, joining):
+    members = transaction.context.members
+    joining_member = members.find(joining["nodeId"])
+    if joining_member is None or joining_member.kind != "store" or members.condition(joining["nodeId"]) != LIVE:
+        raise transaction.context.refusal(
+            RequestRejectedError(f"{joining['nodeId']} is not a live store of this cluster")
+        )
+    if joining_member.machine in record.get("emptied", ()):
+        raise RequestRejectedError(f"{joining_member.machine} is being emptied, or was")
+    return _put(transaction, record, phase=JOINING, leaving=leaving, joining=joining | {"since": record["version"] + 1})
 
 
-def _mend(view, _key, arguments):
+def _repair(transaction, _key, arguments):
     """The same for the watch: while others are silent too, and in the place of a joining that cannot go on or is
     less pressing."""
     check_fields({"basedOn": whole(0, 1 << 53), "leaving": NAME, "joining": STORE}, arguments)
-    record = _record(view)
+    record = _record(transaction)
     leaving, joining = arguments["leaving"], arguments["joining"]
     ids = [row["nodeId"] for row in record["members"]]
     _check_version(record, arguments["basedOn"])
@@ -190,72 +192,74 @@
         raise ConflictError("the set is moving")
     if leaving not in ids or joining["nodeId"] in ids or joining["nodeId"] in record["retired"]:
         raise RequestRejectedError(f"{joining['nodeId']} cannot take the place of {leaving}")
-    return _begin_joining(view, record, leaving, joining)
+    return _begin_joining(transaction, record, leaving, joining)
 
 
-def _retire(view, _key, arguments):
+def _retire(transaction, _key, arguments):
     """From now on the machine is to be emptied; a spare takes its place in the set."""
     check_fields({"machine": NAME}, arguments)
-    record, machine = _record(view), arguments["machine"]
+    record, machine = _record(transaction), arguments["machine"]
     emptied = record.get("emptied", [])
     if not record["version"]:
         raise QuorumUnavailableError("the first store set has not been formed yet", retry_after=1)
     if machine not in emptied:
-        _check_known(view, record, machine)
+        _check_known(transaction, record, machine)
         # One that is silent for a moment is counted on to come back.
         left = {
             member.machine
-            for member, age in view.context.members.newest().values()
+            for member, age in transaction.context.members.newest().values()
             if member.kind == "store" and age <= STORES_PATIENCE and member.node_id not in record["retired"]
         }
         left -= {machine, *emptied}
         needed = 2 * record.get("losses", 1) + 1
         if len(left) < needed:
             error = ConflictError(f"{len(left)} live stores would be left, {needed} are needed")
-            raise view.context.refusal(error)
-        record = _put(view, record, emptied=[*emptied, machine])
-    return _retired(view, _key, arguments)
+            raise transaction.context.refusal(error)
+        record = _put(transaction, record, emptied=[*emptied, machine])
+    return _retired(transaction, _key, arguments)
 
 
-def _check_known(view, record, machine):
-    members = view.context.members
+def _check_known(transaction, record, machine):
+    members = transaction.context.members
     if machine in record.get("emptied", ()) or machine in {
         machine_of(members, node_id) for node_id in StoreMembership(record).everyone
     }:
         return
     if not any(member.machine == machine and member.kind == "store" for member, _ in members.newest().values()):
-        raise view.context.refusal(NotFoundError(f"no store machine {machine} is known"))
+        raise transaction.context.refusal(NotFoundError(f"no store machine {machine} is known"))
 
 
-def _retired(view, _key, arguments):
+def _retired(transaction, _key, arguments):
     """`delivered` once the machine may be taken away with its disk."""
     check_fields({"machine": NAME}, arguments)
-    record, machine = _record(view), arguments["machine"]
-    _check_known(view, record, machine)
-    is_in = machine in {machine_of(view.context.members, node_id) for node_id in StoreMembership(record).everyone}
+    record, machine = _record(transaction), arguments["machine"]
+    _check_known(transaction, record, machine)
+    is_in = machine in {
+        machine_of(transaction.context.members, node_id) for node_id in StoreMembership(record).everyone
+    }
     is_emptied = machine in record.get("emptied", ()) and not is_in
     return {"state": "delivered" if is_emptied else "in_service"}
 
 
-def _cancel(view, _key, arguments):
+def _cancel(transaction, _key, arguments):
     check_fields({"basedOn": whole(0, 1 << 53)}, arguments)
-    record = _record(view)
+    record = _record(transaction)
     if record["phase"] != JOINING:
         raise RequestRejectedError("there is no replacement that can still be called off")
     _check_version(record, arguments["basedOn"])
-    return _put(view, record, phase=STABLE, leaving=None, joining=None)
+    return _put(transaction, record, phase=STABLE, leaving=None, joining=None)
 
 
-def _advance(view, _key, arguments):
+def _advance(transaction, _key, arguments):
     """The next phase; only for the watch, which has asked the stores."""
     check_fields({"basedOn": whole(0, 1 << 53)}, arguments)
-    record = _record(view)
+    record = _record(transaction)
     _check_version(record, arguments["basedOn"])
     if record["phase"] == JOINING:
-        return _put(view, record, phase=MOVING)
+        return _put(transaction, record, phase=MOVING)
     if record["phase"] == MOVING:
         return _put(
-            view,
+            transaction,
             record,
             phase=STABLE,
             members=list(StoreMembership(record).next_members.values()),
@@ -266,17 +270,17 @@
     return record
 
 
-def _prune(view, _key, arguments):
+def _prune(transaction, _key, arguments):
     check_fields({"basedOn": whole(0, 1 << 53), "ids": list}, arguments)
-    record = _record(view)
+    record = _record(transaction)
     _check_version(record, arguments["basedOn"])
     if record["phase"] != STABLE or not set(arguments["ids"]) <= set(record["retired"]) - set(record["pruned"]):
         raise RequestRejectedError("only ids of retired stores are pruned, and only between replacements")
-    return _put(view, record, pruned=[*record["pruned"], *arguments["ids"]])
+    return _put(transaction, record, pruned=[*record["pruned"], *arguments["ids"]])
 
 
-def _image(view, _key):
-    record = _record(view)
+def _snapshot(transaction, _key):
+    record = _record(transaction)
     return record["version"], {"set": pack_json(record)}
 
 
@@ -284,16 +288,16 @@
     Controller(
         {
             "set": _set,
-            "read": lambda view, key, arguments: _record(view),
+            "read": lambda transaction, key, arguments: _record(transaction),
             "replace": _replace,
-            "mend": _mend,
+            "mend": _repair,
             "cancel": _cancel,
             "advance": _advance,
             "prune": _prune,
             "retire": _retire,
             "retired": _retired,
         },
-        image=_image,
+        snapshot=_snapshot,
     )
 )
 
@@ -314,18 +318,18 @@
     Invariants: `_silentSince` holds the stores that this node has seen no sign of since then, in rounds without a
     gap: one that was frozen itself has watched nobody meanwhile; `_stores` is the newest set in the news."""
 
-    def __init__(self, node, owners, mends=False, losses=1):
-        super().__init__(node, owners, STORES_KEY, STORES_LOOK)
+    def __init__(self, node, leaders, mends=False, losses=1):
+        super().__init__(node, leaders, STORES_KEY, STORES_POLL)
         self._mends, self._losses = mends, losses
         self._silent_since, self._watched_at, self._first_seen_at = {}, float("-inf"), None
         self._pruned_at = float("-inf")
         rejoin = (node.env.get("bounds") or {}).get("rejoin_s", REJOIN)
         self._patience = min(STORES_PATIENCE, max(2 * CONDITION_AGE, rejoin - STORES_JOIN_TIME))
         self._note_stores()
-        node.board.watch(STORES_KEY, self._note_stores)
+        node.state_table.watch(STORES_KEY, self._note_stores)
 
     def _note_stores(self, _source=STORES_KEY):
-        self._stores = StoreMembership.from_board(self._node.board)
+        self._stores = StoreMembership.from_state_table(self._node.state_table)
 
     async def _round(self):
         if self._mends:
@@ -346,13 +350,13 @@
             self._first_seen_at = now
 
     def _is_here(self, node_id, row):
-        return self._node.members.condition(node_id) == LIVE and self._heir_of(node_id, row) is None
+        return self._node.members.condition(node_id) == LIVE and self._successor_of(node_id, row) is None
 
     def _is_lost(self, node_id):
         since = self._silent_since.get(node_id)
         return since is not None and self._node.reactor.seconds() - since >= self._patience - CONDITION_AGE
 
-    def _heir_of(self, node_id, row):
+    def _successor_of(self, node_id, row):
         """Who came back in this store's place without its disk: at its address, or, once it is silent, on a machine
         of its name. The former id has ended for ever."""
         members = self._node.members
@@ -370,15 +374,15 @@
             await self._form(owner)
             return
         if self._mends and record["phase"] != MOVING:
-            record = await self._mend(owner, record)
-        while record["phase"] != STABLE and owner.holds_term():
+            record = await self._repair(owner, record)
+        while record["phase"] != STABLE and owner.holds_lease():
             moved = await self._move_on(owner, record)
             if moved is not None:
                 record = moved
                 continue
             await sleep(self._node.reactor, STORES_MOVING_PAUSE)
             if self._mends and record["phase"] != MOVING:
-                record = await self._mend(owner, await owner.do(STORES_KEY, "read", {}))
+                record = await self._repair(owner, await owner.do(STORES_KEY, "read", {}))
             else:
                 record = await owner.do(STORES_KEY, "read", {})
         prunable = [node_id for node_id in record["retired"] if node_id not in record["pruned"]]
@@ -411,7 +415,7 @@
         )
         await self._tell(record)
 
-    async def _mend(self, owner, record):
+    async def _repair(self, owner, record):
         """Begins the most pressing replacement, if it is not under way."""
         wanted = self._wanted(record)
         if wanted is None:
@@ -441,25 +445,25 @@
     def _wanted(self, record):
         """(leaving id, joining member) of a replacement to begin now, "cancel", or None."""
         stores, emptied = StoreMembership(record), record.get("emptied", ())
-        heirs = {
-            node_id: heir
+        successors = {
+            node_id: successor
             for node_id, row in stores.members.items()
-            for heir in [self._heir_of(node_id, row)]
-            if heir is not None and heir.machine not in emptied and heir.node_id not in stores.everyone
+            for successor in [self._successor_of(node_id, row)]
+            if successor is not None and successor.machine not in emptied and successor.node_id not in stores.everyone
         }
-        spares = self._spares(record, stores, heirs)
+        spares = self._spares(record, stores, successors)
         leaving, joining = record["leaving"], record["joining"]
         if joining is not None:
-            heir = self._heir_of(joining["nodeId"], joining)
-            is_lost = heir is not None or self._is_lost(joining["nodeId"])
-            if heirs and leaving not in heirs and not self._is_gone(leaving, stores):
-                return next(iter(heirs.items()))
+            successor = self._successor_of(joining["nodeId"], joining)
+            is_lost = successor is not None or self._is_lost(joining["nodeId"])
+            if successors and leaving not in successors and not self._is_gone(leaving, stores):
+                return next(iter(successors.items()))
             if not is_lost:
                 return None
-            if heir is not None and heir in [*spares, *heirs.values()]:
-                return leaving, heir
-            if leaving in heirs:
-                return leaving, heirs[leaving]
+            if successor is not None and successor in [*spares, *successors.values()]:
+                return leaving, successor
+            if leaving in successors:
+                return leaving, successors[leaving]
             if spares:
                 return leaving, self._nearest(spares, leaving)
             is_staying = (
@@ -467,8 +471,8 @@
                 and machine_of(self._node.members, leaving) not in emptied
             )
             return "cancel" if is_staying else None
-        if heirs:
-            return next(iter(heirs.items()))
+        if successors:
+            return next(iter(successors.items()))
         here = [node_id for node_id, row in stores.members.items() if self._is_here(node_id, row)]
         for node_id in stores.members:
             is_ending = (
@@ -481,10 +485,12 @@
         return None
 
     def _is_gone(self, node_id, stores):
-        return self._heir_of(node_id, stores.members[node_id]) is not None or self._is_lost(node_id)
+        return self._successor_of(node_id, stores.members[node_id]) is not None or self._is_lost(node_id)
 
-    def _spares(self, record, stores, heirs):
-        taken = {heir.node_id for heir in heirs.values()} | stores.everyone.keys() | set(record["retired"])
+    def _spares(self, record, stores, successors):
+        taken = (
+            {successor.node_id for successor in successors.values()} | stores.everyone.keys() | set(record["retired"])
+        )
         return [
             one
             for one in self._node.members.live("store")
@@ -493,8 +499,8 @@
 
     def _nearest(self, spares, node_id):
         """In the zone of the one that leaves, if there is one: so the zones keep their copies."""
-        former = self._node.members.find(node_id)
-        return min(spares, key=lambda one: (former is None or one.zone != former.zone, one.node_id))
+        previous = self._node.members.find(node_id)
+        return min(spares, key=lambda one: (previous is None or one.zone != previous.zone, one.node_id))
 
     # --- moving on ---
 
--- a/packages/control/oakramp/control/token_budget.py
+++ b/packages/control/oakramp/control/token_budget.py
@@ -30,18 +30,18 @@
     return sum(reserve for reserve, _ in row["open"].values())
 
 
-def _put(view, key, row):
-    view.put(key, row)
-    view.context.touch(key)
+def _put(transaction, key, row):
+    transaction.put(key, row)
+    transaction.context.touch(key)
 
 
 def _noted(turns, turn):
     return [*turns, turn][-ALLOWANCE_CLOSED:]
 
 
-def _admit(view, key, arguments):
+def _admit(transaction, key, arguments):
     check_fields(ADMISSION, arguments)
-    row, turn = view.get(key) or NEW, arguments["turn"]
+    row, turn = transaction.get(key) or NEW, arguments["turn"]
     if turn in row["open"] and row["open"][turn][1] != arguments["gate"]:
         raise InProgressError("this turn is under way at another gate", retry_after=1)
     if turn in row["open"]:
@@ -55,24 +55,24 @@
     named = (row["limit"], arguments["limit"])
     row = row | {"limit": min(limit for limit in named if limit is not None)}
     if row["spent"] + _reserved(row) >= row["limit"]:
-        _put(view, key, row | {"refused": _noted(row["refused"], turn)})
+        _put(transaction, key, row | {"refused": _noted(row["refused"], turn)})
         return {"state": "refused"}
-    _put(view, key, row | {"open": row["open"] | {turn: [arguments["reserve"], arguments["gate"]]}})
+    _put(transaction, key, row | {"open": row["open"] | {turn: [arguments["reserve"], arguments["gate"]]}})
     return {"state": "admitted"}
 
 
-def _settle(view, key, arguments):
+def _settle(transaction, key, arguments):
     """Turns that have ended, with the units they put out; 0 of one that never ran. What was settled before stays as it
     is. Of a turn that is neither open nor known, what it is said to have put out counts: too much is safe."""
     check_fields({"settled": list}, arguments)
     if not all(_is_settlement(one) for one in arguments["settled"]):
         raise BadRequestError("settled: must be pairs of a turn and its units")
-    row = view.get(key) or NEW
+    row = transaction.get(key) or NEW
     for turn, units in arguments["settled"]:
         if turn in row["closed"] or turn in row["refused"]:
             continue
         row = _closed(row, turn, units)
-    _put(view, key, row)
+    _put(transaction, key, row)
     return {}
 
 
@@ -95,20 +95,20 @@
     }
 
 
-def _read(view, key, _arguments):
-    row = view.get(key)
+def _read(transaction, key, _arguments):
+    row = transaction.get(key)
     if row is None:
         raise NotFoundError("no such program")
     return {"limit": row["limit"], "spent": row["spent"], "reserved": _reserved(row), "open": len(row["open"])}
 
 
-def _sweep(view, key, _arguments):
+def _cleanup(transaction, key, _arguments):
     """Gives up reservations of gates that are long gone, and rows that nobody has used for long."""
-    row, context = view.get(key), view.context
+    row, context = transaction.get(key), transaction.context
     if row is None:
         return
     if not row["open"] and context.age_of(key) > ALLOWANCE_KEPT:
-        view.put(key, None)
+        transaction.put(key, None)
         context.marks.pop(key, None)
         return
     unheard = {gate: f"{key}#gone/{gate}" for _, gate in row["open"].values() if context.members.find(gate) is None}
@@ -117,11 +117,13 @@
     for turn in given_up:
         row = _closed(row, turn, row["open"][turn][0])
     if given_up:
-        _put(view, key, row)
+        _put(transaction, key, row)
     for gate in gone:
         context.marks.pop(unheard[gate], None)
 
 
 CONTROLLERS.enter("allowance")(
-    Controller({"admit": _admit, "settle": _settle, "read": _read, "sweep": _sweep}, sweep="sweep", growing=("admit",))
+    Controller(
+        {"admit": _admit, "settle": _settle, "read": _read, "sweep": _cleanup}, cleanup="sweep", growing=("admit",)
+    )
 )
--- a/packages/control/oakramp/control/transaction.py
+++ b/packages/control/oakramp/control/transaction.py
@@ -31,12 +31,12 @@
 
     def nested(self):
         """A view for one command, so that one that fails leaves nothing behind."""
-        view = Transaction(self._entries, self.context)
-        view._layers = self._layers.new_child()
-        return view
+        transaction = Transaction(self._entries, self.context)
+        transaction._layers = self._layers.new_child()
+        return transaction
 
-    def fold(self, view):
-        self._layers.maps[0].update(view._layers.maps[0])
+    def fold(self, transaction):
+        self._layers.maps[0].update(transaction._layers.maps[0])
 
     def changes(self):
         return self._layers.maps[0]
