--- a/packages/testbed/oakramp/testbed/failover.py
+++ b/packages/testbed/oakramp/testbed/failover.py
@@ -9,7 +9,7 @@
 
 from oakramp.common.errors import OakrampError
 from oakramp.common.tasks import sleep, spawn
-from oakramp.control.shards import slot_of_key
+from oakramp.control.shards import shard_of_key
 from oakramp.testbed.plan import blueprint_of
 from oakramp.testbed.simfleet import SimFleet
 
@@ -117,18 +117,18 @@
 
 
 def _owner_of(fleet, key):
-    slot = slot_of_key(key)
-    return next(one for one in fleet.of_kind("control") if one.running and slot in one.node.owners.held)
+    shard = shard_of_key(key)
+    return next(one for one in fleet.of_kind("control") if one.running and shard in one.node.leaders.active)
 
 
 def _program_owned_by(fleet, owner):
     """A program's name whose budget this machine owns."""
-    held = owner.node.owners.held
-    return next(name for number in range(10000) if slot_of_key(f"budget/{PARTNER}/{(name := f'p{number}')}") in held)
+    held = owner.node.leaders.active
+    return next(name for number in range(10000) if shard_of_key(f"budget/{PARTNER}/{(name := f'p{number}')}") in held)
 
 
-def _first_event(fleet, name, slot, since):
-    wanted = f"slot={slot} "
+def _first_event(fleet, name, shard, since):
+    wanted = f"shard={shard} "
     return next(
         (
             float(line.split()[0]) - since
@@ -162,8 +162,8 @@
     works = [spawn(order(), fleet.lab_log), spawn(turn(), fleet.lab_log)]
     for work in works:
         fleet.until(work, OUTAGE_LIMIT)
-    trial.noticed = _first_event(fleet, "failover_started", slot_of_key(PLAN_KEY), failed_at)
-    trial.taken = _first_event(fleet, "shard_leader_elected", slot_of_key(PLAN_KEY), failed_at)
+    trial.noticed = _first_event(fleet, "failover_started", shard_of_key(PLAN_KEY), failed_at)
+    trial.taken = _first_event(fleet, "shard_leader_elected", shard_of_key(PLAN_KEY), failed_at)
     return trial
 
 
--- a/packages/testbed/oakramp/testbed/faults.py
+++ b/packages/testbed/oakramp/testbed/faults.py
@@ -132,7 +132,7 @@
 PATHS = {"store": "/v1/stores", "control": "/v1/roster"}
 
 
-async def replace(fleet, kind, former_id, one):
+async def replace(fleet, kind, previous_id, one):
     """As an operator does: asks, and asks again, until the newcomer has the place."""
     path, joining = PATHS[kind], {"nodeId": one.node.node.node_id, "peer": one.machine.peer}
     while True:
@@ -144,9 +144,9 @@
         is_moving = record.get("next") is not None or record.get("joining") is not None
         if joining["nodeId"] in member_ids and not is_moving:
             return
-        if former_id in member_ids and not is_moving:
+        if previous_id in member_ids and not is_moving:
             await fleet.operator.ask(
-                "POST", f"{path}/replace", {"basedOn": record["version"], "leaving": former_id, "joining": joining}
+                "POST", f"{path}/replace", {"basedOn": record["version"], "leaving": previous_id, "joining": joining}
             )
 
 
@@ -161,11 +161,11 @@
 
 
 async def _lose_and_replace(fleet, kind, one):
-    former_id = one.node.node.node_id
+    previous_id = one.node.node.node_id
     one.power_cut()
     one.lose_disk()
     await _restart_after(fleet, one, fleet.random.uniform(0.5, 4.0))
-    await replace(fleet, kind, former_id, one)
+    await replace(fleet, kind, previous_id, one)
     fleet.mark(one.name, "replaced")
 
 
@@ -315,13 +315,13 @@
     fleet.busy.add(one.name)
 
     async def move():
-        former_id = one.node.node.node_id
+        previous_id = one.node.node.node_id
         if fleet.random.random() < 0.5:
             one.kill()
         spare = _spare(fleet, "control")
         fleet.busy.add(spare.name)
         fleet.operator.use_control(spare.machine.http)
-        await replace(fleet, "control", former_id, spare)
+        await replace(fleet, "control", previous_id, spare)
         fleet.busy.discard(spare.name)
         seeds = [other.machine.peer for other in fleet.of_kind("control") if other is not one]
         for other in fleet.by_name.values():
@@ -472,7 +472,7 @@
         for _ in range(20):
             one.disk.damage(f"ring.{fleet.random.randrange(8):03d}", fleet.random.randrange(4096))
         fleet.mark(one.name, "damaged")
-        former_id = one.node.node.node_id
+        previous_id = one.node.node.node_id
         await sleep(fleet.operator_reactor, 1.0)
         try:
             one.start()
@@ -482,7 +482,7 @@
             one.kill()
             one.lose_disk()
             one.start()
-            await replace(fleet, kind, former_id, one)
+            await replace(fleet, kind, previous_id, one)
             fleet.mark(one.name, "replaced")
         await sleep(fleet.operator_reactor, 3.0)
 
--- a/packages/testbed/oakramp/testbed/linearizability.py
+++ b/packages/testbed/oakramp/testbed/linearizability.py
@@ -174,17 +174,17 @@
     def _predecessors(self, one):
         if not one.base:
             return [None]
-        return [former for former in self._by_version[one.base] if former in self._earliest]
+        return [previous for previous in self._by_version[one.base] if previous in self._earliest]
 
     def _earliest_of(self, one):
         """The earliest moment for this order over all paths that lead to it, or None without any."""
         if not self._is_wanted(one) or self._leaves_out(one.base, one.version) or one.version <= one.base:
             return None
-        moments = [self._moment_after(former, one) for former in self._predecessors(one)]
+        moments = [self._moment_after(previous, one) for previous in self._predecessors(one)]
         return min((at for at in moments if at is not None), default=None)
 
-    def _moment_after(self, former, one):
-        at = max(self._earliest[former], self._span(former).last_sending, one.first_sent_at)
+    def _moment_after(self, previous, one):
+        at = max(self._earliest[previous], self._span(previous).last_sending, one.first_sent_at)
         answers = [given.answered_at for given in one.answers(Answer.TAKEN)]
         if at > min([*answers, self._span(one).first_answer]):
             return None
--- a/packages/testbed/oakramp/testbed/outages.py
+++ b/packages/testbed/oakramp/testbed/outages.py
@@ -59,8 +59,8 @@
     spare = fleet.add("store", 3)
     spare.start()
     fleet.run(3.0)
-    former_id = fleet["store0"].node.node.node_id
-    spawn(replace(fleet, "store", former_id, spare), fleet.lab_log)
+    previous_id = fleet["store0"].node.node.node_id
+    spawn(replace(fleet, "store", previous_id, spare), fleet.lab_log)
     fleet.wait_for(
         "the replacement's start",
         lambda: any(one.node.store.stores.phase != "stable" for one in fleet.of_kind("store")),
@@ -70,7 +70,7 @@
 
 
 @OUTAGES.enter("duringARostersReplacement")
-def _during_a_rosters_replacement(fleet):
+def _during_a_voting_configs_replacement(fleet):
     spare = fleet.add("control", 5)
     spare.start()
     fleet.operator.use_control(spare.machine.http)
@@ -78,7 +78,9 @@
     spawn(replace(fleet, "control", fleet["control1"].node.node.node_id, spare), fleet.lab_log)
     fleet.wait_for(
         "the replacement's start",
-        lambda: any(one.node.voter.roster and one.node.voter.roster.next for one in fleet.of_kind("control")),
+        lambda: any(
+            one.node.voter.voting_config and one.node.voter.voting_config.next for one in fleet.of_kind("control")
+        ),
         20.0,
     )
     return total_outage(fleet)
--- a/packages/testbed/oakramp/testbed/scale.py
+++ b/packages/testbed/oakramp/testbed/scale.py
@@ -26,7 +26,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from oakramp.cli.control_client import ask
-from oakramp.common.constants import COHORT_CONTROL, COHORT_SIZE, CONDITION_AGE
+from oakramp.common.constants import CONDITION_AGE, GOSSIP_CONTROL_PEER_COUNT, GOSSIP_PEER_COUNT
 from oakramp.common.errors import OakrampError
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn
 from oakramp.control.replica_registry import REPLICAS_KEY
@@ -72,7 +72,7 @@
 
     def descriptors(self):
         """Of one hollow process: for each node its listener, its own connections and those of others to it."""
-        return 64 + -(-self.hollow // self.processes) * (1 + 4 * (COHORT_SIZE + COHORT_CONTROL))
+        return 64 + -(-self.hollow // self.processes) * (1 + 4 * (GOSSIP_PEER_COUNT + GOSSIP_CONTROL_PEER_COUNT))
 
     def faults(self, machine_bytes, descriptor_limit):
         """Why this cannot be run here; empty if it can."""
@@ -162,8 +162,8 @@
         self._watched, self._began = None, (0.0, 0.0, Counter())
         for node in self.nodes:
             for prefix in (CHANGE_SOURCE, REPLICAS_KEY):
-                node.board.watch(prefix, lambda source, node=node: self._moved(node, source))
-        Repeater(reactor, 0.5, self._look, self.nodes[0].log).start()
+                node.state_table.watch(prefix, lambda source, node=node: self._moved(node, source))
+        Repeater(reactor, 0.5, self._poll, self.nodes[0].log).start()
         Repeater(reactor, 0.1, self._watch, self.nodes[0].log).start()
 
     def _log(self, line):
@@ -192,17 +192,17 @@
     # --- what it notes ---
 
     def _moved(self, node, source):
-        image, now = node.board.images[source], self._reactor.seconds()
-        former = self._reached.get((node.node_id, source), 0)
-        self._reached[node.node_id, source] = image.version
-        for version in range(max(former + 1, image.version - 50), image.version + 1):
+        snapshot, now = node.state_table.snapshots[source], self._reactor.seconds()
+        previous = self._reached.get((node.node_id, source), 0)
+        self._reached[node.node_id, source] = snapshot.version
+        for version in range(max(previous + 1, snapshot.version - 50), snapshot.version + 1):
             count, _ = self.arrivals.get((source, version), (0, 0.0))
             self.arrivals[source, version] = count + 1, now
 
     def _living(self):
         return [node for node in self.nodes if node.node_id not in self._gone]
 
-    async def _look(self):
+    async def _poll(self):
         """One node here, in turn, tells whom it holds for silent; nobody is but those that were killed."""
         node = random.choice(self._living())
         for node_id, (_, age) in node.members.newest().items():
@@ -270,7 +270,7 @@
         """Ends the last node here as a power cut would, but for its connections, which its kernel closes."""
         node = self._living()[-1]
         self._gone.add(node.node_id)
-        node.puller.stop()
+        node.gossip_client.stop()
         node.wall_clock.repeater.stop()
         await node.net.stop()
         return {"nodeId": node.node_id, "at": self._reactor.seconds()}
@@ -455,7 +455,7 @@
                     stdout=log,
                     stderr=log,
                 )
-        roster = {
+        voting_config = {
             self._wait("control answering", lambda env=env: self._condition(env))["nodeId"]: env["peer"]
             for env in self.envs
         }
@@ -463,7 +463,7 @@
             self._wait(
                 "the cluster being made",
                 lambda env=env: (
-                    ask(env["http"], "POST", "/v1/init", {"clusterId": "scale", "roster": roster})[0] == 200
+                    ask(env["http"], "POST", "/v1/init", {"clusterId": "scale", "roster": voting_config})[0] == 200
                 ),
             )
         self._wait(
--- a/packages/testbed/oakramp/testbed/simfleet.py
+++ b/packages/testbed/oakramp/testbed/simfleet.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from oakramp.common.constants import SLOTS
+from oakramp.common.constants import SHARDS
 from oakramp.common.http_client import HttpClient
 from oakramp.common.structured_logging import EventLogger
 from oakramp.common.tasks import spawn
@@ -243,10 +243,10 @@
 
     async def _init(self):
         controls = [one for one in self.of_kind("control")]
-        roster = {one.node.node.node_id: one.machine.peer for one in controls}
+        voting_config = {one.node.node.node_id: one.machine.peer for one in controls}
         for one in controls if not self.self_forming else ():
             status, said = await self.operator._client.json(
-                "POST", one.machine.http, "/v1/init", {"clusterId": "sim", "roster": roster}, 5
+                "POST", one.machine.http, "/v1/init", {"clusterId": "sim", "roster": voting_config}, 5
             )
             assert status == 200, said
         await self._set_stores()
@@ -258,50 +258,50 @@
             if status == 200 or said.get("error") == "conflict":
                 return
 
-    def roster_of_all(self):
+    def voting_config_of_all(self):
         """Whether all control nodes that run, and no others, are members, and all slots are served."""
         running = [one.node for one in self.of_kind("control") if one.running and not one.host.frozen]
         ids = {node.node.node_id for node in running}
         return (
             all(
-                node.voter.roster is not None
-                and node.voter.roster.next is None
-                and node.voter.roster.members.keys() == ids
+                node.voter.voting_config is not None
+                and node.voter.voting_config.next is None
+                and node.voter.voting_config.members.keys() == ids
                 for node in running
             )
-            and self.slots_served()
+            and self.shards_served()
         )
 
-    def slots_served(self):
+    def shards_served(self):
         held = [
-            slot
+            shard
             for one in self.of_kind("control")
             if one.running and not one.host.frozen
-            for slot, owner in one.node.owners.held.items()
-            if owner.holds_term()
+            for shard, owner in one.node.leaders.active.items()
+            if owner.holds_lease()
         ]
-        return len(set(held)) == ControlNode.slot_count
+        return len(set(held)) == ControlNode.shard_count
 
     def wait_formed(self, limit=10.0):
-        return self.wait_for("the core forming", self.roster_of_all, limit)
+        return self.wait_for("the core forming", self.voting_config_of_all, limit)
 
-    def slots_held(self):
+    def shards_held(self):
         """Slots that have an owner which holds its term."""
         return {
-            slot
+            shard
             for one in self.of_kind("control")
             if one.running and not one.host.frozen
-            for slot, owner in one.node.owners.held.items()
-            if owner.holds_term()
+            for shard, owner in one.node.leaders.active.items()
+            if owner.holds_lease()
         }
 
     @staticmethod
     def _knows_all(node):
         """Whether the gate knows replicas and the store set, so that a turn that is sent now goes its way at once."""
-        return bool(node.placer.replicas) and StoreMembership.from_board(node.node.board).epoch > 0
+        return bool(node.placer.replicas) and StoreMembership.from_state_table(node.node.state_table).epoch > 0
 
     def is_ready(self):
-        if len(self.slots_held()) < SLOTS:
+        if len(self.shards_held()) < SHARDS:
             return False
         gates = [one for one in self.of_kind("gate") if one.running and not one.host.frozen]
         return all(
--- a/packages/testbed/oakramp/testbed/simfolder.py
+++ b/packages/testbed/oakramp/testbed/simfolder.py
@@ -124,11 +124,11 @@
         self._handles[handle].change(offset, data[:written])
         return written
 
-    def rename(self, former, new):
+    def rename(self, previous, new):
         self._tick()
-        file = self._file(former)
+        file = self._file(previous)
         self._set(self._name(new), file)
-        self._set(self._name(former), None)
+        self._set(self._name(previous), None)
 
     def unlink(self, path):
         self._tick()
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -11,7 +11,7 @@
 from oakramp.control import budget  # noqa: F401  it enters its controller
 from oakramp.control.controllers import CONTROLLERS
 from oakramp.control.shard_leader import CommandContext, ShardLeader, Transaction
-from oakramp.control.shards import pack_entry, slot_of_key
+from oakramp.control.shards import pack_entry, shard_of_key
 from oakramp.control.voter import Voter, entry_key
 from oakramp.rpc.codec import pack
 from oakramp.storage.circular_log import CircularLog
@@ -77,7 +77,7 @@
 
 
 class _Board:
-    images = {}
+    snapshots = {}
 
 
 def owner_work(programs):
@@ -87,7 +87,7 @@
         entries[f"budget/p/g{number:06d}"] = pack_entry({"limit": 100, "spent": 0, "open": {}, "turns": 1})
         entries[f"budget/p/g{number:06d}#turn/l/t"] = pack_entry({"state": "done", "back": {}})
     owner = ShardLeader.__new__(ShardLeader)
-    owner.entries, owner.swept_to, owner.size = entries, "", 0
+    owner.entries, owner.cleaned_to, owner.size = entries, "", 0
     context = CommandContext(0.0, _Members(), {}, None, _Board())
     admission = {"turn": "l/t2", "print": "x", "admission": "a", "gate": "g", "number": 1}
 
@@ -137,8 +137,8 @@
         for number in range(programs)
         for key in [f"budget/p/g{number}"]
         for pair in (
-            (entry_key(slot_of_key(key), 0, key), program),
-            (entry_key(slot_of_key(key), 0, f"{key}#turn/l/t"), mark),
+            (entry_key(shard_of_key(key), 0, key), program),
+            (entry_key(shard_of_key(key), 0, f"{key}#turn/l/t"), mark),
         )
     ]
     return (
