--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -119,16 +119,16 @@
 
     async def _shards(self, _call):
         leaders = self._control.leaders
-        rows = ((shard, leaders.believed_owner(shard)) for shard in range(self._control.shard_count))
+        rows = ((shard, leaders.failover.known_leader(shard)) for shard in range(self._control.shard_count))
         return 200, {
             "slots": [
                 {
                     "slot": shard,
-                    "epoch": row and row[0],
-                    "owner": row and row[1],
-                    "age": row and round(min(self._node.state_table.age(f"slot/{shard}"), 1e9), 3),
+                    "epoch": known and known.epoch,
+                    "owner": known and known.node_id,
+                    "age": known and round(min(self._node.state_table.age(f"slot/{shard}"), 1e9), 3),
                 }
-                for shard, row in rows
+                for shard, known in rows
             ]
         }
 
@@ -166,8 +166,8 @@
         }
 
     async def _in_force(self, voting_config):
-        """Returns once a majority stands in this version. Before, a loss of members who do may leave the others in a version
-        in which they are no majority, so the change is not told to be over."""
+        """Returns once a majority stands in this version. Before, a loss of members who do may leave the others in a
+        version in which they are no majority, so the change is not told to be over."""
         ends_at = self._node.reactor.seconds() + READ_TIME
         members = self._node.members
         addresses = {
@@ -191,7 +191,7 @@
             "eviction": self._control.placement.mode,
             "roster": voter.voting_config and voter.voting_config.record,
             "majority": not leaders.contact.is_lost(),
-            "votersBehind": leaders.voters_behind,
+            "votersBehind": leaders.replicator.voters_behind,
             "inTouchFor": round(leaders.contact.seconds(), 3),
             "disk": self._control.ring.condition(),
         }
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -20,12 +20,13 @@
 )
 from oakramp.control.admin_api import AdminApi
 from oakramp.control.bootstrap import found, founding_of
+from oakramp.control.leader_registry import LeaderRegistry
+from oakramp.control.lease import LeaseRenewalPiggyback
 from oakramp.control.lease_expiry import LeaseExpiryWatch
 from oakramp.control.operator_api import OperatorApi
 from oakramp.control.prefix_placement import PrefixPlacementTask
 from oakramp.control.replica_discovery import ReplicaDiscovery
 from oakramp.control.shard_client import MajorityClient, ShardClient
-from oakramp.control.shard_leader import LeaderRegistry, LeaseRenewalPiggyback
 from oakramp.control.store_membership import StoreMembershipTask
 from oakramp.control.voter import Voter
 from oakramp.control.voting_configuration import MembershipRepairTask
@@ -67,7 +68,7 @@
             ("slots_held", lambda: len(self.leaders.active)),
             ("majority_reached", lambda: int(not self.leaders.contact.is_lost())),
             ("in_touch_seconds", self.leaders.contact.seconds),
-            ("voters_behind", lambda: self.leaders.voters_behind),
+            ("voters_behind", lambda: self.leaders.replicator.voters_behind),
             ("ring_syncs", lambda: self.ring.sync_count),
             ("ring_commits", lambda: self.ring.commit_count),
             ("ring_live_bytes", self.ring.live_bytes),
--- a/packages/control/oakramp/control/controllers.py
+++ b/packages/control/oakramp/control/controllers.py
@@ -40,6 +40,6 @@
     return key if controller.snapshot else None
 
 
-def sweeps_for(keys):
+def cleanups_for(keys):
     """The (key, command) pairs by which an owner lets old things go."""
     return [(key, command) for key in keys for command in [CONTROLLERS.find(key.partition("/")[0]).cleanup] if command]
--- /dev/null
+++ b/packages/control/oakramp/control/failover.py
@@ -0,0 +1,279 @@
+"""Failover: which node leads a shard next, and how it comes to lead it.
+
+The candidates for a shard are the live voters in rendezvous order. The first one prepares a higher epoch at a majority
+of voters, brings the newest snapshot among them to a majority under that epoch, waits until no earlier lease can be
+held any more, has its own lease confirmed, and serves. docs/control-safety/failover.md gives the argument.
+"""
+
+from __future__ import annotations
+
+import json
+from dataclasses import replace
+from typing import TYPE_CHECKING, NamedTuple
+
+from oakramp.common.constants import (
+    CANDIDATE_TURN_TIME,
+    CONDITION_AGE,
+    FORGET_AGE,
+    LEASE,
+    LEASE_RENEW,
+    RELEASE_TIME,
+    SHARDS,
+)
+from oakramp.common.errors import OakrampError, QuorumUnavailableError
+from oakramp.common.tasks import sleep, spawn, within
+from oakramp.control.controllers import SHARD_SOURCE
+from oakramp.control.prepare_phase import PreparePhase
+from oakramp.control.shard_leader import ShardLeader
+from oakramp.membership.members import LIVE
+from oakramp.membership.rendezvous_hashing import ranked
+
+if TYPE_CHECKING:
+    from oakramp.control.leader_registry import LeaderRegistry
+    from oakramp.control.voter import Voter
+    from oakramp.gossip.node import Node
+
+LEAVING = "leaving"  # condition of a member that hands its shards over before it stops
+PARTITIONED = "parted"  # state of a member that reaches no majority of voters, as it is spelled in member rows
+UP = "up"  # state of a member that does
+RETRY_PAUSE = (0.1, 0.5)  # s; drawn between these after a failed attempt, so that two candidates do not stay in step
+
+
+class KnownLeader(NamedTuple):
+    """The newest leader of a shard that this node has heard of."""
+
+    epoch: int
+    node_id: str
+    address: str
+
+
+class Failover:
+    """Takes over the shards that this node should lead.
+
+    Invariants: a leader enters the registry only after its snapshot is on a majority under its own epoch and every
+    earlier lease has ended; `in_progress` holds the shards that are being taken over; `_orders` is a set of live voters
+    and, by shard, these voters in the order in which they are candidates for it.
+    """
+
+    def __init__(self, node: Node, voter: Voter, registry: LeaderRegistry) -> None:
+        self._reactor = node.reactor
+        self._log = node.log
+        self._node = node
+        self._voter = voter
+        self._registry = registry
+        self.in_progress: set[int] = set()
+        self._seen_epochs: dict[int, int] = {}  # shard -> highest epoch that a voter is known to have promised
+        self._released_at: dict[int, float] = {}  # shard -> when another member asked for it (monotonic seconds)
+        self._orders: tuple[tuple[str, ...], list[list[str]]] = (), []
+        self._started_at = node.reactor.seconds()
+        voter.may_hold_lease = self.may_hold_lease
+        node.net.handle("release", self._serve_release)
+
+    async def poll(self) -> None:
+        """Compares the leaders with the live members, and takes over each shard that is this node's turn."""
+        voting_config = self._voter.voting_config
+        if voting_config is None:
+            return
+        is_partitioned = not voting_config.is_quorum(self._answering_voters())
+        self._registry.contact.poll(not is_partitioned)
+        if self._node.node_id not in voting_config.everyone:
+            # A non-member needs no majority; while it reported to be partitioned, it would not be let in again.
+            self._report_partitioned(False)
+            for leader in list(self._registry.active.values()):
+                leader.end()
+            return
+        # Only a node that hears from a majority may disturb a leader: one that is heard but hears nobody would end
+        # every lease with its prepares.
+        self._report_partitioned(is_partitioned)
+        if is_partitioned:
+            return
+        live_ids = self.live_voters()
+        for shard in range(SHARDS):
+            is_free = self.is_free(shard) and not self._is_handed_over(shard)
+            if is_free and self._is_candidate_now(shard, live_ids):
+                self.begin_failover(shard)
+
+    def live_voters(self) -> list[str]:
+        """Node ids of the voters that are live and have not come back under another id."""
+        members = self._node.members
+        return [
+            node_id
+            for node_id, peer in self._voter.voting_config.named.items()
+            if members.condition(node_id) == LIVE and members.successor_of(node_id, peer) is None
+        ]
+
+    def is_free(self, shard: int) -> bool:
+        """Whether this node neither leads the shard nor is taking it over."""
+        return shard not in self._registry.active and shard not in self.in_progress
+
+    def known_leader(self, shard: int) -> KnownLeader | None:
+        """The shard's newest leader by gossip, or None."""
+        rows = self._node.state_table.values(f"{SHARD_SOURCE}{shard}")
+        return KnownLeader(*json.loads(rows["owner"])) if "owner" in rows else None
+
+    def last_lease_holder(self, shard: int) -> str | None:
+        """The node that held the shard's lease last, by this node's voter and by gossip; None if there was none.
+
+        A candidate that only has promises is not meant: it may be about to lead the shard.
+        """
+        confirmed, known = self._voter.last_holder(shard), self.known_leader(shard)
+        return max(confirmed, known[:2] if known else confirmed)[1]
+
+    def is_next(self, shard: int, suspects: set[str]) -> bool:
+        """Whether this node is the first candidate once the suspects are left out."""
+        candidates = [node_id for node_id in self.live_voters() if node_id not in suspects]
+        return bool(candidates) and ranked(candidates, f"slot{shard}")[0] == self._node.node_id
+
+    def begin_failover(self, shard: int, expired: bool = False) -> None:
+        """Starts to take the shard over; its leader is not asked to release it where a majority calls its lease
+        expired."""
+        self.in_progress.add(shard)
+        spawn(self.run(shard, self.live_voters(), expired), self._log)
+
+    async def run(self, shard: int, live_ids: list[str], expired: bool = False) -> None:
+        """One attempt to take the shard over; a failed one is logged and followed by a random pause."""
+        known = self.known_leader(shard)
+        self._log.info(
+            "failover_started",
+            shard=shard,
+            after=known.node_id if known else "nobody",
+            live=len(live_ids),
+            silent_s=round(min(self._node.state_table.age(f"{SHARD_SOURCE}{shard}"), FORGET_AGE), 2),
+            expired="yes" if expired else "no",
+        )
+        try:
+            released_epoch = None if expired else await self._ask_release(shard)
+            await self.prepare_and_serve(shard, released_epoch)
+        except OakrampError as error:
+            self._log.warning("failover_failed", shard=shard, reason=error.reason)
+            await sleep(self._reactor, self._node.random.uniform(*RETRY_PAUSE))
+        finally:
+            self.in_progress.discard(shard)
+
+    async def prepare_and_serve(self, shard: int, released_epoch: int | None) -> None:
+        """Takes the shard over under a new epoch; `released_epoch` is that of a leader that said it has ended.
+
+        Raises:
+            QuorumUnavailableError: a majority did not promise the epoch, take the snapshot or confirm the lease.
+        """
+        epoch = self._next_epoch(shard, released_epoch)
+        self._seen_epochs[shard] = epoch
+        preparation = PreparePhase(self._registry, self._node, self._voter, shard, epoch)
+        await preparation.prepare()
+        newest, start = preparation.newest()
+        entries = await preparation.fetch_snapshot(newest)
+        leader = ShardLeader(self._registry, shard, epoch, entries, 0)
+        if not await self._registry.replicator.replicate(leader, 1, {}, start):
+            raise QuorumUnavailableError(f"the snapshot of epoch {epoch} did not reach a majority")
+        await preparation.previous_lease_ended(released_epoch)
+        spawn(self._confirm_first_lease(leader, self._voter.voting_config.version), self._log)
+        unconfirmed = QuorumUnavailableError(f"epoch {epoch} was not confirmed")
+        await within(self._reactor, LEASE, leader.confirmed, unconfirmed)
+        leader.sequence = 1
+        self._registry.active[shard] = leader
+        leader.serve()
+        self._registry.publisher.publish(leader, entries)
+        self._log.info(
+            "shard_leader_elected", shard=shard, epoch=epoch, entries=len(entries), released=released_epoch or "no"
+        )
+
+    def note_epoch(self, shard: int, epoch: int) -> None:
+        """A voter has promised this epoch; the next failover by this node goes above it."""
+        self._seen_epochs[shard] = max(self._seen_epochs.get(shard, 0), epoch)
+
+    def on_outranked(self, shard: int, leader: ShardLeader) -> None:
+        """Ends a leader when a voter has promised a later epoch under which nobody serves.
+
+        That voter takes nothing of the leader's epoch any more; the shard is taken over anew, under a higher one.
+        """
+        self._log.info("epoch_superseded", shard=shard, epoch=leader.epoch, seen=self._seen_epochs.get(shard, 0))
+        leader.end()
+
+    def may_hold_lease(self, shard: int, requester: str) -> bool:
+        """Whether this process has the shard's lease, or may come to it by a failover that does not follow the
+        requester's."""
+        return shard in self._registry.active or (shard in self.in_progress and requester != self._node.node_id)
+
+    def candidate_order(self, shard: int, live_ids: tuple[str, ...]) -> list[str]:
+        """These voters in the order in which they are candidates for the shard."""
+        if self._orders[0] != live_ids:
+            self._orders = live_ids, [ranked(live_ids, f"slot{number}") for number in range(SHARDS)]
+        return self._orders[1][shard]
+
+    def _answering_voters(self):
+        """Node ids of the voters that have answered this node's gossip requests lately."""
+        return {
+            node_id
+            for node_id, address in self._registry.voter_addresses().items()
+            if self._node.gossip_client.answers_lately(address)
+        }
+
+    def _report_partitioned(self, is_partitioned):
+        """Publishes whether this member reaches a majority, as far as it is still heard.
+
+        Shards then go to other members at once, without a candidate's turn that this one could not use.
+        """
+        state, me = PARTITIONED if is_partitioned else UP, self._node.gossip_client.me
+        is_new = self._reactor.seconds() - self._started_at < CONDITION_AGE
+        if me.state not in (state, LEAVING) and not (is_partitioned and is_new):
+            self._node.gossip_client.describe(replace(me, state=state))
+            self._log.info("member_partitioned" if is_partitioned else "member_rejoined")
+
+    def _is_handed_over(self, shard):
+        """Whether another member has asked this one for the shard within the time of a lease.
+
+        That member may not count as live here yet, as when it is just back from a partition; a failover of this node
+        beside its own would only delay both.
+        """
+        return self._reactor.seconds() < self._released_at.get(shard, float("-inf")) + LEASE
+
+    def _is_candidate_now(self, shard, live_ids):
+        """Whether it is this node's turn: the first live candidate's, as long as the shard gets a leader.
+
+        If the shard stays without one (a partition may keep the first candidate from the voters only), the next ones
+        have a turn each, in order; the first of them only after the first candidate has had its own.
+        """
+        order = self.candidate_order(shard, tuple(live_ids))
+        if self._node.node_id not in order:
+            return False
+        position = order.index(self._node.node_id)
+        now = self._reactor.seconds()
+        leaderless_s = min(self._node.state_table.age(f"{SHARD_SOURCE}{shard}"), now - self._started_at)
+        late_s = leaderless_s - CONDITION_AGE - CANDIDATE_TURN_TIME
+        return position == (0 if late_s <= 0 else (1 + int(late_s / CANDIDATE_TURN_TIME)) % len(order))
+
+    async def _ask_release(self, shard):
+        """The epoch of the known leader if it gave the shard up on request; None otherwise."""
+        known = self.known_leader(shard)
+        if known is None or known.node_id not in self._voter.voting_config.everyone:
+            return None
+        if known.node_id == self._node.node_id or self._node.members.condition(known.node_id) not in (LIVE, LEAVING):
+            return None
+        try:
+            return await self._node.net.call(known.address, "release", RELEASE_TIME, shard=shard)
+        except OakrampError as error:
+            self._log.warning("shard_release_unanswered", shard=shard, owner=known.node_id, reason=error.reason)
+            return None
+
+    def _next_epoch(self, shard, released_epoch):
+        known = self.known_leader(shard)
+        seen = self._seen_epochs.get(shard, 0), known.epoch if known else 0
+        return max(*seen, released_epoch or 0, self._voter.promised_epoch(shard)) + 1
+
+    async def _confirm_first_lease(self, leader, voting_config_version):
+        """Asks for the leader's first lease, again and again while voters pass to this voting configuration.
+
+        Under a later one nothing is asked: its majority need not hold what was prepared.
+        """
+        while not leader.confirmed.called and self._voter.voting_config.version == voting_config_version:
+            self._registry.leases.confirm({leader.shard: leader})
+            await sleep(self._reactor, LEASE_RENEW / 4)
+
+    async def _serve_release(self, _peer, arguments):
+        leader = self._registry.active.get(arguments.shard)
+        if leader is None:
+            return None
+        leader.end()
+        self._released_at[arguments.shard] = self._reactor.seconds()
+        self._log.info("shard_released", shard=arguments.shard, epoch=leader.epoch)
+        return leader.epoch
--- a/packages/control/oakramp/control/leader_changes.py
+++ b/packages/control/oakramp/control/leader_changes.py
@@ -1,8 +1,8 @@
 """Leaving an owner that does not answer as soon as another one is known.
 
-A process that froze or lost its power answers nothing and refuses nothing. Who waits for it need not wait out the whole time
-of a call: news of the slot's next owner say that this one's lease is over. What was asked may have come through, as with any
-call that is not answered in time.
+A process that froze or lost its power answers nothing and refuses nothing. Who waits for it need not wait out the whole
+time of a call: news of the slot's next owner say that this one's lease is over. What was asked may have come through,
+as with any call that is not answered in time.
 """
 
 from collections import defaultdict
@@ -17,8 +17,8 @@
 
 
 class LeaderChangeWatch:
-    """Invariant: `_waiting` holds, for each slot, the outcome of each call under way to the owner that news named when it was
-    asked, and that owner's address."""
+    """Invariant: `_waiting` holds, for each slot, the outcome of each call under way to the owner that news named when
+    it was asked, and that owner's address."""
 
     def __init__(self, node, address_of):
         """`address_of(shard)` is where the slot's owner is by the newest news, or None."""
@@ -27,8 +27,8 @@
         node.state_table.watch(SHARD_SOURCE, self._on_news)
 
     def answer_of(self, shard, address, call):
-        """The call's answer; NoAnswer if it is to the owner that news name, they name another one meanwhile, and a moment
-        later there is still none."""
+        """The call's answer; NoAnswer if it is to the owner that news name, they name another one meanwhile, and a
+        moment later there is still none."""
         answer = begin(call)
         if address != self._address_of(shard):
             return answer  # another node has named it, which may know more
--- /dev/null
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -0,0 +1,206 @@
+"""The shards that this node leads, and the calls that other nodes make to their leaders."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Container
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet.defer import Deferred
+
+from oakramp.common.constants import (
+    CALL_TIME,
+    FAILOVER_POLL,
+    FULL_RETRY,
+    LEASE_RENEW,
+    ONWARD_TIME,
+    OWNER_CLEANUP,
+    VOTERS_POLL,
+    VOTING_CONFIG_HEARD,
+)
+from oakramp.common.errors import NotShardLeaderError, OakrampError, StorageFullError
+from oakramp.common.tasks import Repeater, sleep
+from oakramp.common.validation import pack_json
+from oakramp.control.command_context import CommandContext
+from oakramp.control.failover import Failover
+from oakramp.control.lease import LeaseRenewer
+from oakramp.control.publication import Publisher
+from oakramp.control.quorum_contact import QuorumContact
+from oakramp.control.shard_replicator import ShardReplicator
+from oakramp.control.shards import shard_of_key
+
+if TYPE_CHECKING:
+    from oakramp.control.shard_leader import ShardLeader
+    from oakramp.control.voter import Voter
+    from oakramp.gossip.node import Node
+
+HAND_OVER_POLLS = 20  # polls; a planned stop waits so long for others to take the shards over, and ends the rest
+
+
+class LeaderRegistry:
+    """Owns the leaders on this node and the periodic tasks that keep them.
+
+    `active` maps a shard to its leader here. Only `failover` enters leaders, and a leader that ends is removed by
+    `retract`. Leases, replication and publication are parts of their own.
+    """
+
+    def __init__(self, node: Node, voter: Voter) -> None:
+        self.reactor = node.reactor
+        self.log = node.log
+        self._node = node
+        self._voter = voter
+        self.active: dict[int, ShardLeader] = {}
+        self.contact = QuorumContact(node.reactor, node.log)
+        self.publisher = Publisher(node)
+        self.leases = LeaseRenewer(node, voter, self)
+        self.failover = Failover(node, voter, self)
+        self.replicator = ShardReplicator(node, voter, self, self.failover.on_outranked)
+        self._failover_task = Repeater(node.reactor, FAILOVER_POLL, self.failover.poll, node.log)
+        self._renewal_task = Repeater(node.reactor, LEASE_RENEW, self.leases.renew, node.log)
+        self._cleanup_task = Repeater(node.reactor, OWNER_CLEANUP, self._cleanup, node.log)
+        self._update_task = Repeater(node.reactor, VOTERS_POLL, self.replicator.update_voters, node.log)
+        node.net.handle("ownerCall", self._serve_call)
+
+    def start(self) -> None:
+        """Starts the periodic tasks."""
+        for task in (self._failover_task, self._renewal_task, self._cleanup_task, self._update_task):
+            task.start()
+
+    async def stop(self) -> None:
+        """Waits for the next leaders to ask for the shards, then ends what nobody asked for.
+
+        Those shards are taken over once their lease has expired.
+        """
+        for task in (self._failover_task, self._cleanup_task, self._update_task):
+            task.stop()
+        for _ in range(HAND_OVER_POLLS):
+            if not self.active:
+                break
+            await sleep(self.reactor, FAILOVER_POLL)
+        for leader in list(self.active.values()):
+            leader.end()
+        self._renewal_task.stop()
+
+    def context_for(self, leader: ShardLeader) -> CommandContext:
+        """The context of the leader's next batch of commands."""
+        return CommandContext(
+            self.reactor.seconds(),
+            self._node.members,
+            leader.marks,
+            self._voter.voting_config,
+            self._node.state_table,
+            self._node.env.get("bounds"),
+            self.contact,
+            partial(self.refuse_full, leader),
+        )
+
+    def voter_addresses(self) -> dict[str, str]:
+        """The address of each voter by node id: its own, if it is known, or the one in the voting configuration."""
+        addresses = {}
+        for node_id, configured in self._voter.voting_config.everyone.items():
+            member = self._node.members.find(node_id)
+            addresses[node_id] = member.peer if member else configured
+        return addresses
+
+    def ask_voters(
+        self, method: str, voter_ids: Container[str], time_left: float = CALL_TIME, **arguments: Any
+    ) -> dict[str, Deferred]:
+        """Calls a method of these voters within `time_left` seconds.
+
+        Returns:
+            the response to come of each voter, by node id.
+        """
+        return {
+            node_id: self._node.net.call(
+                address,
+                method,
+                time_left,
+                voting_config_version=self._voter.voting_config.version,
+                owner=self._node.node_id,
+                to=node_id,
+                **arguments,
+            )
+            for node_id, address in self.voter_addresses().items()
+            if node_id in voter_ids
+        }
+
+    def refuse_full(self, leader: ShardLeader) -> None:
+        """Rejects a command that would grow a state without capacity left, before anything is done.
+
+        What is open already still finds capacity to end.
+
+        Raises:
+            StorageFullError: this shard, or the whole control state, has reached its limit.
+        """
+        if leader.size > self._voter.shard_limit():
+            raise StorageFullError(
+                f"shard {leader.shard} of the control state is full; end programs, or use other names",
+                retry_after=FULL_RETRY,
+            )
+        if self._voter.is_full():
+            raise StorageFullError("the control state is full; end programs", retry_after=FULL_RETRY)
+
+    def refuse_unfit(self, leader: ShardLeader, changes: dict[str, bytes | None]) -> None:
+        """Rejects changes after which a snapshot of the shard would not fit beside the present one.
+
+        Raises:
+            StorageFullError: a voter could not install such a snapshot.
+        """
+        growth = leader.growth(changes)
+        if growth > 0 and not self._voter.has_room(growth, leader.size + growth, len(leader.entries) + len(changes)):
+            raise StorageFullError(f"shard {leader.shard} would not fit a second time; take something out first")
+
+    def retract(self, leader: ShardLeader) -> None:
+        """Removes a leader that has ended, and stops publishing its sources."""
+        if self.active.get(leader.shard) is leader:
+            del self.active[leader.shard]
+        self.publisher.retract(leader)
+
+    async def call(self, key: str, command: str, arguments: dict[str, Any]) -> Any:
+        """Runs a command on a key that this node leads.
+
+        Raises:
+            NotShardLeaderError: another node leads the shard; `detail` is the address of the one known here, or None.
+        """
+        shard = shard_of_key(key)
+        leader = self.active.get(shard)
+        if leader is None:
+            known = self.failover.known_leader(shard)
+            raise NotShardLeaderError(f"shard {shard} is led elsewhere", detail=known and known.address)
+        return await leader.do(key, command, arguments)
+
+    async def _serve_call(self, _peer, arguments):
+        try:
+            answer = await self.call(arguments.key, arguments.command, json.loads(arguments.arguments_json))
+            return pack_json(answer).decode()
+        except NotShardLeaderError as error:
+            leader_address = error.detail
+            if not arguments.onward or not self._answers_lately(leader_address):
+                raise
+        return await self._node.net.call(
+            leader_address,
+            "ownerCall",
+            ONWARD_TIME,
+            key=arguments.key,
+            command=arguments.command,
+            arguments_json=arguments.arguments_json,
+        )
+
+    def _answers_lately(self, address):
+        if address in (None, self._node.net.address):
+            return False
+        return self._node.gossip_client.answers_lately(address, VOTING_CONFIG_HEARD)
+
+    async def _cleanup(self):
+        """Removes expired entries: a page of keys of each shard, as one command."""
+        for leader in list(self.active.values()):
+            if not leader.holds_lease():
+                continue
+            try:
+                failed = await leader.cleanup()
+            except OakrampError as error:
+                self.log.warning("cleanup_failed", shard=leader.shard, reason=str(error))
+                continue
+            for key, error in failed:
+                self.log.warning("cleanup_failed", shard=leader.shard, key=key, reason=str(error))
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -1,8 +1,9 @@
 """Finding slots whose lease has lapsed by a majority's word, before their owner counts as silent.
 
-Each voter knows for how long it has confirmed no lease of a slot. A member whose own voter has been quiet for LEASE_LAPSED
-asks the others, and changes nothing by that. Only if a majority has been quiet for so long does it start a take-over. The
-take-over is the ordinary one, with its wait for the former lease: what is found here is a reason to begin, never to skip.
+Each voter knows for how long it has confirmed no lease of a slot. A member whose own voter has been quiet for
+LEASE_LAPSED asks the others, and changes nothing by that. Only if a majority has been quiet for so long does it start a
+take-over. The take-over is the ordinary one, with its wait for the former lease: what is found here is a reason to
+begin, never to skip.
 """
 
 from oakramp.common.constants import EXPIRY_POLL, EXPIRY_QUERY_TIME, LEASE_EXPIRED, SUSPECT_SILENT
@@ -29,12 +30,17 @@
             return
         quiet = await self._ask_majority(shards)
         expired = {shard for shard in shards if quiet[shard] >= LEASE_EXPIRED}
-        # Silent ones whose leases have lapsed are passed over.
-        suspects = {owner for owner in map(self._owners.previous_owner, expired) if not self._answers(owner)}
+        # Silent holders of expired leases are no candidates.
+        holders = map(self._owners.failover.last_lease_holder, expired)
+        suspects = {node_id for node_id in holders if not self._answers(node_id)}
         now = self._node.reactor.seconds()
         for shard in shards:
-            if shard in expired and self._owners.is_free(shard) and self._owners.is_next(shard, suspects):
-                self._owners.begin_failover(shard, expired=True)
+            if (
+                shard in expired
+                and self._owners.failover.is_free(shard)
+                and self._owners.failover.is_next(shard, suspects)
+            ):
+                self._owners.failover.begin_failover(shard, expired=True)
             self._ask_at[shard] = now + max(EXPIRY_POLL, LEASE_EXPIRED - quiet[shard])
 
     def _quiet_shards(self):
@@ -43,12 +49,12 @@
         return [
             shard
             for shard in self._voter.quiet_shards(LEASE_EXPIRED, own_id)
-            if self._owners.is_free(shard) and now >= self._ask_at.get(shard, 0.0)
+            if self._owners.failover.is_free(shard) and now >= self._ask_at.get(shard, 0.0)
         ]
 
     def _hears_majority(self):
-        """Whether a majority has answered this node just now. If not, it may have been frozen itself, and all that it has not
-        heard of the others says nothing."""
+        """Whether a majority has answered this node just now. If not, it may have been frozen itself, and all that it
+        has not heard of the others says nothing."""
         voting_config = self._voter.voting_config
         if voting_config is None or self._node.node_id not in voting_config.everyone:
             return False
@@ -67,6 +73,7 @@
         return {shard: min(quiet[place] for quiet in answers.values()) / 1000 for place, shard in enumerate(shards)}
 
     def _answers(self, node_id):
-        """Whether this node has answered a pull lately: then it is at work, though a majority may not confirm its lease."""
+        """Whether this node has answered a pull lately: then it is at work, though a majority may not confirm its
+        lease."""
         address = self._owners.voter_addresses().get(node_id)
         return address is not None and self._node.gossip_client.answers_lately(address, SUSPECT_SILENT)
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -5,7 +5,8 @@
     200  on a majority of disks, also if this exact change was taken before
     412  built on a version that is past, so it is not taken and never will be
     4xx  not taken and never will be: unreadable, invalid, an unknown machine, too few left
-    503  no owner could be asked, what became of it is not known, or it may still be taken: to be repeated as it is, at any
+    503  no owner could be asked, what became of it is not known, or it may still be taken: to be repeated as it is, at
+    any
          node; within half a second, if no majority of the roster answers this node
 
 An operator that moves on to another node leaves its call here under way. That does no harm: a change is taken once, by
@@ -14,7 +15,8 @@
 What the dialect has to say: `operator_routes`, {replace, change, read, retire, retire_state: (method, path)}, the last
 two with {machine} in their paths; `operator_status(error)`, of one that is final; `base_version_of(headers)`;
 `routing_of(document, parsed)`, the table in the product's terms, or Invalid with every fault; `version_of(document)`;
-`patch_of(body)`, {version, upsert, remove}; `with_version(document, version)`; `retire_shown(state)`, a JSON-able answer.
+`patch_of(body)`, {version, upsert, remove}; `with_version(document, version)`; `retire_shown(state)`, a JSON-able
+answer.
 """
 
 import json
@@ -119,8 +121,8 @@
         return answer
 
     def _while_new(self, handler):
-        """The handler of calls whose answers may become untrue. One that is ready later than any call may take was found
-        out before this process was frozen, and is not given. What became of a change stays true."""
+        """The handler of calls whose answers may become untrue. One that is ready later than any call may take was
+        found out before this process was frozen, and is not given. What became of a change stays true."""
 
         async def answer(call):
             asked_at = self._node.reactor.seconds()
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -1,9 +1,9 @@
 """Blueprints: one for each partner, changed whole or by a named change built on a version.
 
-A change is known by its id for as long as the version that it made is kept, and an id names one change: another one under
-the same id is refused. A change is told that it is lost only if it is built on a past version whose successor is kept, for
-then its id would be known, had it been accepted. An older one may have been accepted, and one that is built on a version
-which is not there yet may still be, by a copy under way: these get no clear answer.
+A change is known by its id for as long as the version that it made is kept, and an id names one change: another one
+under the same id is refused. A change is told that it is lost only if it is built on a past version whose successor is
+kept, for then its id would be known, had it been accepted. An older one may have been accepted, and one that is built
+on a version which is not there yet may still be, by a copy under way: these get no clear answer.
 """
 
 import json
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -1,8 +1,8 @@
 """The published key `placement`: tenants in mutual eviction, and the replicas that each of them is given.
 
 Gates report to the owner what they count; reports live only as long as this ownership and are written nowhere. The duty
-of the key's owner finds who is trapped and writes the plan, a row a service, when it changes. The plan's news are as new as
-the duty's last round, so that a plan that nobody looks after any more grows old, and gates place as ever.
+of the key's owner finds who is trapped and writes the plan, a row a service, when it changes. The plan's news are as
+new as the duty's last round, so that a plan that nobody looks after any more grows old, and gates place as ever.
 """
 
 import json
@@ -72,7 +72,8 @@
 }
 
 
-# placement. Invariants: the head's version rises with each change of a row; a row's tenants name replicas that were ready.
+# placement. Invariants: the head's version rises with each change of a row; a row's tenants name replicas that were
+# ready.
 
 
 def _report(transaction, key, arguments):
@@ -147,7 +148,7 @@
         self._decisions, self._decided_for = {}, None
         self._told = {}
         self.counts = Counter()
-        leaders.poll_times[PLACEMENT_KEY] = float("-inf")
+        leaders.publisher.poll_times[PLACEMENT_KEY] = float("-inf")
 
     @property
     def mode(self):
@@ -168,7 +169,7 @@
                 owner, service, windows.setdefault(service, Window()), rows.get(service), ready.get(service, []), now
             )
         if not owner.ended:
-            self._owners.poll_times[PLACEMENT_KEY] = now
+            self._owners.publisher.poll_times[PLACEMENT_KEY] = now
 
     def _ready(self):
         """The ids of the replicas that are ready, by service."""
--- a/packages/control/oakramp/control/prepare_phase.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -14,8 +14,8 @@
 
 
 class PreparePhase:
-    """One epoch of a slot, sought by this node. Invariant: once `prepare` has ended, `_promises` are those of a majority, and
-    `_prepared_at` is no earlier than any of them."""
+    """One epoch of a slot, sought by this node. Invariant: once `prepare` has ended, `_promises` are those of a
+    majority, and `_prepared_at` is no earlier than any of them."""
 
     def __init__(self, leaders, node, voter, shard, epoch):
         self._owners, self._node, self._voter = leaders, node, voter
@@ -64,7 +64,7 @@
                     raise
             await sleep(self._node.reactor, LEASE_RENEW / 4)
         if not promise.granted:
-            self._owners.note_epoch(self._shard, promise.promised_epoch)
+            self._owners.failover.note_epoch(self._shard, promise.promised_epoch)
             raise QuorumUnavailableError(f"epoch {promise.promised_epoch} is promised already")
         if promise.holds_no_lease:
             self._previous.holds_none(node_id)
@@ -101,7 +101,8 @@
         return entries
 
     async def previous_lease_ended(self, released_epoch):
-        """Waits until no lease of an earlier epoch can be held. There is none if the owner of the last one said so itself."""
+        """Waits until no lease of an earlier epoch can be held. There is none if the owner of the last one said so
+        itself."""
         previous_epoch = max(promise.promised_epoch for promise in self._promises.values())
         if not previous_epoch or previous_epoch == released_epoch:
             return
--- a/packages/control/oakramp/control/previous_leases.py
+++ b/packages/control/oakramp/control/previous_leases.py
@@ -4,8 +4,8 @@
 
 
 class PreviousLeases:
-    """The terms of a slot's earlier epochs. They have ended when the last one that was confirmed runs out, or as soon as each
-    process that might hold one has said that it doesn't: after an outage of all, that is at once."""
+    """The terms of a slot's earlier epochs. They have ended when the last one that was confirmed runs out, or as soon
+    as each process that might hold one has said that it doesn't: after an outage of all, that is at once."""
 
     def __init__(self, reactor, holders):
         self._reactor, self._left, self._outcome = reactor, set(holders), Deferred()
--- /dev/null
+++ b/packages/control/oakramp/control/publication.py
@@ -0,0 +1,70 @@
+"""Publication of control state by gossip: who leads each shard, and the published keys of led shards."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+from oakramp.common.validation import pack_json
+from oakramp.control.controllers import CONTROLLERS, SHARD_SOURCE, published_by
+from oakramp.control.transaction import Transaction
+
+if TYPE_CHECKING:
+    from oakramp.control.shard_leader import ShardLeader
+    from oakramp.gossip.node import Node
+
+VOTING_CONFIG_BITS = (
+    20  # bits; of a shard source's version, below the epoch: voting configurations change far less often
+)
+
+
+class Publisher:
+    """Publishes led shards and published keys as gossip sources, each confirmed while its leader holds the lease.
+
+    `poll_times` maps a key with a singleton task to the time (monotonic seconds) at which the task's last complete
+    round began: what the key publishes is no newer than that.
+    """
+
+    def __init__(self, node: Node) -> None:
+        self._reactor = node.reactor
+        self._node = node
+        self.poll_times: dict[str, float] = {}
+
+    def retract(self, leader: ShardLeader) -> None:
+        """Stops publishing the sources of a leader that has ended."""
+        for source in leader.sources:
+            self._node.state_table.retract(source)
+
+    def publish(self, leader: ShardLeader, changed_keys: Iterable[str]) -> None:
+        """Publishes the shard's leader, and each published key that one of the changed keys belongs to."""
+        if leader.ended:
+            return  # ended while the change was replicated; a node takes no updates of a source that it publishes
+        source = f"{SHARD_SOURCE}{leader.shard}"
+        self._node.state_table.publish(source, lambda: self.confirmed_at(leader))
+        self._node.state_table.set_items(
+            source,
+            (leader.epoch << VOTING_CONFIG_BITS) + leader.voting_config_version,
+            {
+                "owner": pack_json([leader.epoch, self._node.node_id, self._node.net.address]),
+                "roster": pack_json(leader.voting_config_version),
+            },
+        )
+        transaction = Transaction(leader.entries, None)
+        for key in sorted({published_by(changed) for changed in changed_keys} - {None}):
+            leader.sources.add(key)
+            controller = CONTROLLERS.find(key.partition("/")[0])
+            version, values = controller.snapshot(transaction, key)
+            self._node.state_table.publish(key, lambda key=key: self._key_confirmed_at(leader, key))
+            self._node.state_table.set_items(key, version, values)
+
+    def confirmed_at(self, leader: ShardLeader) -> float | None:
+        """The time (monotonic seconds) as of which the leader confirms its state; None without a lease.
+
+        The clock is read first: a process that was frozen after it checked the lease must not report a later time.
+        """
+        now = self._reactor.seconds()
+        return now if leader.holds_lease() else None
+
+    def _key_confirmed_at(self, leader, key):
+        confirmed_at = self.confirmed_at(leader)
+        return confirmed_at if confirmed_at is None else self.poll_times.get(key, confirmed_at)
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -1,8 +1,8 @@
 """Whether this control node is in touch with a majority of the roster, and for how long it has been.
 
-What a node knows of who is alive comes with its pulls. A process that has just started, was frozen or was cut off has not
-heard of everybody yet, so nothing may be refused because somebody was not heard of before the node has been in touch for
-longer than any member may stay silent.
+What a node knows of who is alive comes with its pulls. A process that has just started, was frozen or was cut off has
+not heard of everybody yet, so nothing may be refused because somebody was not heard of before the node has been in
+touch for longer than any member may stay silent.
 """
 
 from oakramp.common.constants import CONTACT_GAP, MAJORITY_WAIT, VIEW_AGE
@@ -11,8 +11,8 @@
 
 
 class QuorumContact:
-    """Invariant: `_since` is None, or each look since then found that a majority had answered this node's own pulls lately,
-    and no two looks were further apart than CONTACT_GAP. Times are this process's monotonic ones."""
+    """Invariant: `_since` is None, or each look since then found that a majority had answered this node's own pulls
+    lately, and no two looks were further apart than CONTACT_GAP. Times are this process's monotonic ones."""
 
     def __init__(self, reactor, log):
         self._reactor, self._log = reactor, log
@@ -54,8 +54,8 @@
 
 
 async def answers_now(node, voter_addresses, voting_config, least_version=0):
-    """Whether a majority of the roster answers a question that is asked from here now, within MAJORITY_WAIT, and stands in
-    this version of it or in a later one."""
+    """Whether a majority of the roster answers a question that is asked from here now, within MAJORITY_WAIT, and stands
+    in this version of it or in a later one."""
 
     async def ask(node_id, address):
         version = await node.net.call(address, "rosterVersion", MAJORITY_WAIT, to=node_id)
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -56,7 +56,8 @@
 
 
 class ReplicaRowReader:
-    """Makes the list's rows safe to take in. Invariant: each oddity is told when it begins or changes, not at each look."""
+    """Makes the list's rows safe to take in. Invariant: each oddity is told when it begins or changes, not at each
+    look."""
 
     def __init__(self, log):
         self._log = log
@@ -127,7 +128,7 @@
         self._due, self._due_for = float("-inf"), None
         self._take_env(node.env)
         node.watch_env(self._take_env)
-        leaders.poll_times[REPLICAS_KEY] = float("-inf")
+        leaders.publisher.poll_times[REPLICAS_KEY] = float("-inf")
         node.net.handle("platformList", self._serve_list)
 
     def _take_env(self, env):
@@ -156,7 +157,7 @@
             self._due = self._node.reactor.seconds() + tick
             raise
         if not owner.ended:
-            self._owners.poll_times[REPLICAS_KEY] = now
+            self._owners.publisher.poll_times[REPLICAS_KEY] = now
 
     async def _list(self):
         """The platform's rows, read by whoever reaches it; None if a majority of the roster cannot."""
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -1,14 +1,17 @@
 """The way of an owner's steps to the voters.
 
-An owner of several slots writes to each of them by itself, but to the same five disks. What is on its way to one voter at
-the same time goes in one call, is committed there at once and is answered for each slot by itself.
+An owner of several slots writes to each of them by itself, but to the same five disks. What is on its way to one voter
+at the same time goes in one call, is committed there at once and is answered for each slot by itself.
 
-A voter that is behind is updated beside the steps (`VoterUpdates`), by one transfer at a time for each slot: what changed
-since the state that it is known to have, as one merged step, or else the whole image. What changes during the transfer of
-an image is gathered and follows it as a merged step, so a slow transfer is never begun anew for a change.
+A voter that is behind is updated beside the steps (`VoterUpdates`), by one transfer at a time for each slot: what
+changed since the state that it is known to have, as one merged step, or else the whole image. What changes during the
+transfer of an image is gathered and follows it as a merged step, so a slow transfer is never begun anew for a change.
 """
 
+from __future__ import annotations
+
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, NamedTuple
 
 from twisted.internet import defer
 
@@ -25,10 +28,35 @@
 from oakramp.control.shards import ENTRY_COST, in_parts
 from oakramp.rpc.codec import idl
 
+if TYPE_CHECKING:
+    from oakramp.control.shard_leader import ShardLeader
+
+
+class VoterAddress(NamedTuple):
+    """A voter and where it listens."""
+
+    node_id: str
+    address: str
+
+
+@dataclass(frozen=True, slots=True)
+class ShardChange:
+    """One change of a shard, as proposed under one voting configuration.
+
+    `changes` maps keys to packed values, None where the key is removed; `start` is the (epoch, sequence) of the
+    snapshot that a failover begins with.
+    """
+
+    leader: ShardLeader
+    voting_config_version: int
+    sequence: int
+    changes: dict[str, bytes | None]
+    start: tuple[int, int]
+
 
 class AppendBatcher:
-    """Steps on their way to one voter. Invariant: while any waits, a timer is set, or a call is under way whose end sends it;
-    none waits longer than STEP_PAUSE."""
+    """Steps on their way to one voter. Invariant: while any waits, a timer is set, or a call is under way whose end
+    sends it; none waits longer than STEP_PAUSE."""
 
     def __init__(self, net, reactor, voter_id):
         self._net, self._reactor, self._voter_id = net, reactor, voter_id
@@ -129,12 +157,14 @@
 @dataclass
 class VoterProgress:
     """What the owner of a slot knows of one voter. Invariants:
-    - `base` is the newest (epoch, sequence) that the voter has confirmed, or the image that the take-over began with, or
+    - `base` is the newest (epoch, sequence) that the voter has confirmed, or the image that the take-over began with,
+      or
       NO_IMAGE while an image is on its way and nothing of it or after it is confirmed;
     - `missing`, unless it is None, holds every key that has changed since `base`, with its newest value. It may hold
       further keys: their newest values do no harm, wherever between `base` and the newest state the voter is;
     - `unanswered` counts the steps offered since the voter last confirmed one;
-    - each one in `waiting` is told once, as soon as the voter has the sequence that it waits for, or an update failed."""
+    - each one in `waiting` is told once, as soon as the voter has the sequence that it waits for, or an update
+      failed."""
 
     base: tuple
     missing: dict | None = None
@@ -248,8 +278,9 @@
 
 
 class VoterUpdates:
-    """Brings voters that are behind up to date: those that refuse a step for want of what is before it, and at each look
-    those that have lacked something since the look before, so that a system in which nothing changes heals as well.
+    """Brings voters that are behind up to date: those that refuse a step for want of what is before it, and at each
+    look those that have lacked something since the look before, so that a system in which nothing changes heals as
+    well.
 
     Invariants: at most one update for each slot and voter is under way, and at most one image to each voter."""
 
@@ -261,24 +292,27 @@
         self._snapshot_locks = {}
         self.behind = 0  # slots and voters; that lacked something at the last look
 
-    async def give(self, voter, voting_config_version, owner, sequence, changes, start, taken):
-        """Returns once the voter has this step; `taken` is its answer to the first offer, if it gave one. `start` names
-        the image that a take-over begins with: who has it needs nothing more."""
-        if taken is None or taken.again:
-            taken = await self._accept(voter, voting_config_version, owner, sequence, changes.items(), base=start)
-        if taken.needs_snapshot:
-            progress = owner.progress.of(voter[0])
-            if progress.base in (start, (owner.epoch, sequence - 1)):  # it has not even what this step follows
+    async def give(self, voter, change, response):
+        """Returns once the voter has this change; `response` is its first answer to it, or None if it gave none.
+
+        A voter that has the snapshot with which a failover begins needs nothing more.
+        """
+        owner, sequence, version = change.leader, change.sequence, change.voting_config_version
+        if response is None or response.again:
+            response = await self._accept(voter, version, owner, sequence, change.changes.items(), base=change.start)
+        if response.needs_snapshot:
+            progress = owner.progress.of(voter.node_id)
+            if progress.base in (change.start, (owner.epoch, sequence - 1)):  # it lacks even what this change follows
                 progress.forget_missing()
-            await self._reach(voter, voting_config_version, owner, sequence)
+            await self._reach(voter, version, owner, sequence)
             return
-        self._note(voter, owner, sequence, taken)
+        self._note(voter, owner, sequence, response)
 
-    async def await_update(self, voter, voting_config_version, owner, sequence):
-        """Returns once a stalled voter has this step by its update."""
-        if not self._gossip_client.answers_lately(voter[1]):
+    async def await_update(self, voter, change):
+        """Returns once a stalled voter has this change by its update."""
+        if not self._gossip_client.answers_lately(voter.address):
             raise OutcomeUnknownError("the voter has not answered lately")
-        reached = self._reach(voter, voting_config_version, owner, sequence)
+        reached = self._reach(voter, change.voting_config_version, change.leader, change.sequence)
         await within(self._reactor, CALL_TIME, reached, OutcomeUnknownError("the update of the voter takes long"))
 
     def poll(self, held, voters, voting_config_version):
@@ -286,17 +320,17 @@
         self.behind = 0
         for shard, owner in held.items():
             progress = owner.progress
-            late = [voter for voter in voters if progress.is_behind(voter[0])]
+            late = [voter for voter in voters if progress.is_behind(voter.node_id)]
             self.behind += len(late)
             for voter in late:
-                if self._gossip_client.answers_lately(voter[1]):
+                if self._gossip_client.answers_lately(voter.address):
                     spawn(self._reach(voter, voting_config_version, owner, progress.newest))
             progress.newest_at_poll = progress.newest
-            if progress.is_outranked([voter[0] for voter in voters], self._seconds()):
+            if progress.is_outranked([voter.node_id for voter in voters], self._seconds()):
                 self._on_outranked(shard, owner)
 
     async def _reach(self, voter, voting_config_version, owner, sequence):
-        progress = owner.progress.of(voter[0])
+        progress = owner.progress.of(voter.node_id)
         reached = progress.until(sequence)
         if not progress.is_updating:
             spawn(self._update(voter, voting_config_version, owner, progress), self._log)
@@ -307,7 +341,7 @@
         progress.is_updating = True
         error = QuorumUnavailableError("the update of this voter was broken off")
         try:
-            while owner.progress.confirmed(voter[0]) < owner.progress.newest:
+            while owner.progress.confirmed(voter.node_id) < owner.progress.newest:
                 if owner.ended:
                     raise NotShardLeaderError("this slot is changing hands")
                 if progress.missing is None:
@@ -334,11 +368,11 @@
         if owner.size <= SNAPSHOT_PART:
             await self._transfer_snapshot(voter, voting_config_version, owner, progress)
             return
-        lock = self._snapshot_locks.setdefault(voter[0], defer.DeferredLock())
+        lock = self._snapshot_locks.setdefault(voter.node_id, defer.DeferredLock())
         has_waited = lock.locked
         await lock.acquire()
         try:
-            if has_waited and not self._gossip_client.answers_lately(voter[1]):
+            if has_waited and not self._gossip_client.answers_lately(voter.address):
                 raise QuorumUnavailableError("the voter does not answer")
             await self._transfer_snapshot(voter, voting_config_version, owner, progress)
         finally:
@@ -355,7 +389,7 @@
         except OakrampError:
             progress.forget_missing()
             raise
-        self._log.info("snapshot_sent", shard=owner.shard, voter=voter[0], sequence=sequence, entries=len(entries))
+        self._log.info("snapshot_sent", shard=owner.shard, voter=voter.node_id, sequence=sequence, entries=len(entries))
 
     async def _give_snapshot(self, voter, voting_config_version, owner, sequence, entries):
         """In the order of the keys: so each try at one image has the same parts, and none is mixed up with a late one."""
@@ -371,10 +405,10 @@
     def _note(self, voter, owner, sequence, taken):
         """Takes in what a voter answered that did not lack anything."""
         if not taken.taken:
-            self._owners.note_epoch(owner.shard, taken.promised_epoch or 0)
-            owner.progress.outrank(voter[0], taken.promised_epoch, self._seconds())
+            self._owners.failover.note_epoch(owner.shard, taken.promised_epoch or 0)
+            owner.progress.outrank(voter.node_id, taken.promised_epoch, self._seconds())
             raise QuorumUnavailableError("the voter has promised a later epoch")
-        owner.progress.confirm(voter[0], sequence)
+        owner.progress.confirm(voter.node_id, sequence)
 
     def _accept(self, voter, voting_config_version, owner, sequence, pairs, base):
         return self._give(
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -115,8 +115,8 @@
 
 
 class MajorityClient:
-    """Asks owners for an operator. While a majority of the roster answers this node, an order may take its time, as during a
-    take-over; as soon as none does, it ends with NoAnswer: what has left may still come through."""
+    """Asks owners for an operator. While a majority of the roster answers this node, an order may take its time, as
+    during a take-over; as soon as none does, it ends with NoAnswer: what has left may still come through."""
 
     def __init__(self, node, voter, leaders, client):
         self._node, self._voter, self._owners, self._client = node, voter, leaders, client
--- /dev/null
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -0,0 +1,164 @@
+"""Replication of a shard's changes: each is proposed to all voters, and a majority of their disks decides."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+from twisted.internet.defer import Deferred
+
+from oakramp.common.constants import CALL_TIME, LEASE_RENEW
+from oakramp.common.errors import NotFoundError, OakrampError
+from oakramp.common.tasks import drive, sleep
+from oakramp.control.prepare_phase import is_moving
+from oakramp.control.replication import AppendBatcher, Proposal, ShardChange, VoterAddress, VoterUpdates
+from oakramp.rpc.codec import idl, pack
+
+if TYPE_CHECKING:
+    from oakramp.control.leader_registry import LeaderRegistry
+    from oakramp.control.shard_leader import ShardLeader
+    from oakramp.control.voter import Voter
+    from oakramp.gossip.node import Node
+
+NO_SNAPSHOT = 0, 0  # (epoch, sequence); a change that follows no particular snapshot
+RETRY_PAUSE = LEASE_RENEW / 4  # s; until a voter that is passing to this voting configuration is asked again
+
+
+def entries_of(pairs: Iterable[tuple[str, bytes | None]]) -> list[idl.Entry]:
+    """The (key, value) pairs as entries of a message; a value of None removes the key."""
+    return [idl.Entry(key=key, value=value) for key, value in pairs]
+
+
+@dataclass(frozen=True, slots=True)
+class Append:
+    """One change on its way to one voter; `packed` is the AppendEntries message."""
+
+    voter: VoterAddress
+    proposal: Proposal
+    change: ShardChange
+    packed: bytes
+
+
+class ShardReplicator:
+    """Brings the changes of the shards that this node leads to the voters, and voters that are behind up to date."""
+
+    def __init__(
+        self, node: Node, voter: Voter, registry: LeaderRegistry, on_outranked: Callable[[int, ShardLeader], None]
+    ) -> None:
+        """`on_outranked(shard, leader)` is called once a voter has promised a later epoch under which nobody serves."""
+        self._reactor = node.reactor
+        self._node = node
+        self._voter = voter
+        self._registry = registry
+        self._batchers: dict[str, AppendBatcher] = {}  # by the voter's node id
+        self._updates = VoterUpdates(registry, node, on_outranked)
+
+    async def replicate(
+        self,
+        leader: ShardLeader,
+        sequence: int,
+        changes: dict[str, bytes | None],
+        start: tuple[int, int] = NO_SNAPSHOT,
+    ) -> bool:
+        """Replicates one change, which follows the snapshot `start` (epoch, sequence) where a failover begins.
+
+        While voters pass from one voting configuration to the next, the same change is proposed again: who has it says
+        so.
+
+        Returns:
+            whether a majority has it on disk, all under one voting configuration. If not, a minority may have it.
+        """
+        ends_at = self._reactor.seconds() + CALL_TIME
+        while True:
+            voting_config = self._voter.voting_config
+            change = ShardChange(leader, voting_config.version, sequence, changes, start)
+            reached, errors = await self._propose(Proposal(voting_config, ends_at), change, voting_config.everyone)
+            if reached:
+                leader.voting_config_version = voting_config.version
+                return True
+            if leader.ended or not any(map(is_moving, errors.values())) or self._reactor.seconds() >= ends_at:
+                return False
+            await sleep(self._reactor, RETRY_PAUSE)
+
+    async def update_voters(self) -> None:
+        """Starts to update the voters that lack something."""
+        if self._registry.active:
+            self._updates.poll(dict(self._registry.active), self._voters(), self._voter.voting_config.version)
+
+    @property
+    def voters_behind(self) -> int:
+        """Voters that lacked something at the last poll, counted once for each shard that this node leads."""
+        return self._updates.behind if self._registry.active else 0
+
+    def _voters(self):
+        return [VoterAddress(*pair) for pair in self._registry.voter_addresses().items()]
+
+    def _propose(self, proposal: Proposal, change: ShardChange, voter_ids: Iterable[str]) -> Deferred:
+        leader, start = change.leader, change.start
+        leader.progress.offer(change.sequence, change.changes, start, voter_ids, leader.size)
+        packed = pack(
+            idl.AppendEntries(
+                shard=leader.shard,
+                epoch=leader.epoch,
+                sequence=change.sequence,
+                entries=entries_of(change.changes.items()),
+                from_epoch=start[0],
+                from_sequence=start[1],
+            )
+        )
+        for voter in self._voters():
+            self._send(Append(voter, proposal, change, packed))
+        return proposal.outcome
+
+    def _send(self, append):
+        node_id, address = append.voter
+        if append.change.leader.progress.is_stalled(node_id):
+            self._finish_after(self._updates.await_update(append.voter, append.change), append)
+            return
+        if node_id not in self._batchers:
+            self._batchers[node_id] = AppendBatcher(self._node.net, self._reactor, node_id)
+        target = address, append.change.voting_config_version
+        self._batchers[node_id].put(target, append.packed, partial(self._on_response, append))
+
+    def _on_response(self, append, response, error):
+        if error is None and response.taken:
+            append.change.leader.progress.confirm(append.voter.node_id, append.change.sequence)
+            append.proposal.settle(append.voter.node_id)
+        elif response is None and not isinstance(error, NotFoundError):
+            self._on_error(append, error)
+        else:  # the voter lacks something, is busy with this shard, or is of a release that takes changes one by one
+            self._finish_after(self._updates.give(append.voter, append.change, response), append)
+
+    def _finish_after(self, update, append):
+        """Counts the voter once the update that brings it this change has ended."""
+
+        def on_end(_result, error):
+            if error is None:
+                append.proposal.settle(append.voter.node_id)
+            else:
+                self._on_error(append, error)
+
+        drive(update, on_end)
+
+    def _on_error(self, append: Append, error: OakrampError) -> None:
+        """A voter that is passing to this voting configuration is asked again by itself.
+
+        Otherwise all voters would wait for one that is dead.
+        """
+        if is_moving(error):
+            self._reactor.callLater(RETRY_PAUSE, self._send_again, append, error)
+        else:
+            append.proposal.settle(append.voter.node_id, error)
+
+    def _send_again(self, append, error):
+        proposal, change = append.proposal, append.change
+        if proposal.outcome.called:
+            return
+        if change.voting_config_version != self._voter.voting_config.version:
+            proposal.give_up(append.voter.node_id, error)  # it is proposed to all anew under the next configuration
+        elif change.leader.ended or self._reactor.seconds() >= proposal.ends_at:
+            proposal.settle(append.voter.node_id, error)
+        else:
+            self._send(append)
--- a/packages/control/oakramp/control/transaction.py
+++ b/packages/control/oakramp/control/transaction.py
@@ -35,7 +35,7 @@
         transaction._layers = self._layers.new_child()
         return transaction
 
-    def fold(self, transaction):
+    def merge(self, transaction):
         self._layers.maps[0].update(transaction._layers.maps[0])
 
     def changes(self):
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -138,8 +138,8 @@
         return [shard for shard in self._tables if self.quiet_for(shard, requester) >= least]
 
     def quiet_for(self, shard, requester):
-        """Seconds for which this voter has confirmed no lease of the slot, and has promised it to nobody but the asker: who
-        is just taking it over is not to be disturbed."""
+        """Seconds for which this voter has confirmed no lease of the slot, and has promised it to nobody but the asker:
+        who is just taking it over is not to be disturbed."""
         since = self._confirmed_at[shard]
         if self._tables[shard].promised_owner != requester:
             since = max(since, self._promised_at.get(shard, since))
@@ -181,7 +181,8 @@
             )
 
     def _forget_previous_voting_config(self):
-        """While the roster is new, who was left out of it may still hold a term; that outlasts a restart of this process."""
+        """While the roster is new, who was left out of it may still hold a term; that outlasts a restart of this
+        process."""
         if VOTING_CONFIG_IS_NEW in self._ring.table:
             self._reactor.callLater(2 * LEASE, self._on_voting_config_aged, self.voting_config.version)
 
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -54,7 +54,7 @@
         )
 
     def carry_leases(self, piggyback):
-        """`piggyback.begin_round()` is called before each round of pulls; `piggyback.ride(address)` gives what goes with a pull to
+        """`piggyback.begin_round()` is called before each round of pulls; `piggyback.renewal_for(address)` gives what goes with a pull to
         this address and who is told the answer's `confirmed`, or None."""
         self._piggyback = piggyback
 
@@ -207,7 +207,7 @@
             me = None if told.own_version == self._version else self._state_table.full_snapshot(self._source)
             told.own_version, moved = self._version, told.take()
             asked_at = self._reactor.seconds()
-            ride = self._piggyback and self._piggyback.ride(address)
+            ride = self._piggyback and self._piggyback.renewal_for(address)
             leases, confirmed = ride or (None, None)
             news = await self._net.call(
                 address, "pull", PULL_TIME, seen=moved, me=me, basis=told.basis, whole=is_whole, leases=leases
--- a/packages/rpc/oakramp/rpc/codec.py
+++ b/packages/rpc/oakramp/rpc/codec.py
@@ -9,7 +9,7 @@
 
 from oakramp.common.errors import BadRequestError
 
-idl = thriftpy2.load(os.path.join(os.path.dirname(__file__), "oak.thrift"), module_name="oak_thrift")
+idl = thriftpy2.load(os.path.join(os.path.dirname(__file__), "messages.thrift"), module_name="oakramp_messages_thrift")
 
 _FACTORY = TBinaryProtocolFactory(decode_response=True)
 
--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -21,12 +21,13 @@
 from oakramp.common.structured_logging import EventLogger
 from oakramp.common.tasks import settled, spawn
 from oakramp.common.validation import pack_json
+from oakramp.control.command_context import CommandContext
 from oakramp.control.controllers import CONTROLLERS
 from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.routing import ROUTING_KEY, pieces_of
 from oakramp.control.shard_client import ShardClient
-from oakramp.control.shard_leader import CommandContext, Transaction
 from oakramp.control.shards import pack_entry
+from oakramp.control.transaction import Transaction
 from oakramp.control.voter import entry_key
 from oakramp.gossip.state_table import StateTable
 from oakramp.membership.members import SILENT, Member
--- a/packages/testbed/oakramp/testbed/explore/mutations.py
+++ b/packages/testbed/oakramp/testbed/explore/mutations.py
@@ -92,7 +92,7 @@
     _take_out("sync before answering"),
 ]
 
-OWNER, VOTER, ROUTING = "oakramp.control.shard_leader", "oakramp.control.voter", "oakramp.control.routing"
+LEADER, VOTER, ROUTING = "oakramp.control.shard_leader", "oakramp.control.voter", "oakramp.control.routing"
 PREPARATION, REPLICATION = "oakramp.control.prepare_phase", "oakramp.control.replication"
 CHECKED_PUT = "    head = _head(transaction)\n    _check_versions(transaction, head, arguments)\n    previous"  # of a whole document
 PLANTED = [
@@ -110,15 +110,15 @@
     ),
     Mutation(
         "lease not checked after a freeze",
-        OWNER,
-        "return not self.ended and self._owners.reactor.seconds() < self.lease_until",
+        LEADER,
+        "return not self.ended and self._registry.reactor.seconds() < self.lease_until",
         "return not self.ended",
     ),
     Mutation(
         "lease counted from the answer",
-        OWNER,
-        "lengthen(self.asked_at + LEASE_HELD)",
-        "lengthen(self.leaders[shard]._owners.reactor.seconds() + LEASE_HELD)",
+        "oakramp.control.lease",
+        "extend_lease(self.asked_at + LEASE_HELD)",
+        "extend_lease(self.leaders[shard]._registry.reactor.seconds() + LEASE_HELD)",
     ),
     Mutation(
         "newest image by sequence only",
@@ -177,15 +177,15 @@
     ),
     Mutation(
         "the image of a take-over is not written to a majority",
-        OWNER,
-        "        if not await self.replicate(owner, 1, {}, start):",
+        "oakramp.control.failover",
+        "        if not await self._registry.replicator.replicate(owner, 1, {}, start):",
         "        if False:",
     ),
     Mutation(
         "a change acknowledged without a majority",
-        OWNER,
-        "            if not await self._owners.replicate(self, self.sequence + 1, changes):\n                self.end()\n",
-        "            if not await self._owners.replicate(self, self.sequence + 1, changes):\n                return None\n",
+        LEADER,
+        "            if not await self._registry.replicator.replicate(self, self.sequence + 1, changes):\n                self.end()\n",
+        "            if not await self._registry.replicator.replicate(self, self.sequence + 1, changes):\n                return None\n",
     ),
     Mutation(
         "the voter that was quiet longest ends the former term",
--- a/packages/testbed/oakramp/testbed/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -4,13 +4,14 @@
 
 from oakramp.common.tasks import spawn
 from oakramp.membership.members import LIVE, SILENT
-from oakramp.control import shard_leader as owner_module
+from oakramp.control import failover as failover_module
 from oakramp.control import voting_configuration as voting_config_module
 from oakramp.control import shards as shards_module
 from oakramp.control import voter as voter_module
 from oakramp.control.controllers import SHARD_SOURCE
 from oakramp.control.lease_expiry import LeaseExpiryWatch
-from oakramp.control.shard_leader import LeaderRegistry, LeaseRenewalPiggyback
+from oakramp.control.leader_registry import LeaderRegistry
+from oakramp.control.lease import LeaseRenewalPiggyback
 from oakramp.control.voting_configuration import MembershipRepairTask
 from oakramp.control.voter import Voter
 from oakramp.gossip.state_table import StateTable
@@ -26,7 +27,7 @@
 class OneSlot:
     """While entered, the control state has one slot, so that each choice of a schedule concerns it."""
 
-    _modules = (owner_module, voting_config_module, shards_module, voter_module)
+    _modules = (failover_module, voting_config_module, shards_module, voter_module)
 
     def __enter__(self):
         self._previous = [module.SHARDS for module in self._modules]
@@ -144,20 +145,20 @@
         return f"{SHARD_SOURCE}{SHARD}" in self.state_table._own_sources
 
     def can_failover(self):
-        return self.is_voter() and SHARD not in self.leaders.active and SHARD not in self.leaders._taking
+        return self.is_voter() and SHARD not in self.leaders.active and SHARD not in self.leaders.failover.in_progress
 
     def failover(self):
         """As the regular look does once the slot is for this node."""
-        self.leaders._taking.add(SHARD)
+        self.leaders.failover.in_progress.add(SHARD)
         live = [member.node_id for member in self.members.live()]
-        spawn(self.leaders._failover(SHARD, live), self.log)
+        spawn(self.leaders.failover.run(SHARD, live), self.log)
 
     def renew(self):
-        spawn(self.leaders._renew(), self.log)
+        spawn(self.leaders.leases.renew(), self.log)
 
     def update_voters(self):
         """One look for voters that are behind."""
-        spawn(self.leaders._update_voters(), self.log)
+        spawn(self.leaders.replicator.update_voters(), self.log)
 
     def poll_for_lapses(self):
         """One look for a lease that a majority has not confirmed for long, unless one is under way."""
@@ -185,7 +186,7 @@
 
     def leave_voting_config(self):
         """The look of who is no member any more, which ends what it owns."""
-        spawn(self.leaders._poll(), self.log)
+        spawn(self.leaders.failover.poll(), self.log)
 
     def pull_from(self, other):
         """News from another process, with this one's terms on their way."""
@@ -193,7 +194,7 @@
 
     async def _pull(self, address):
         self.piggyback.begin_round()
-        leases, confirmed = self.piggyback.ride(address) or (None, None)
+        leases, confirmed = self.piggyback.renewal_for(address) or (None, None)
         seen, asked_at = self.state_table.seen(), self.clock.seconds()
         news = await self.net.call(address, "pull", 0.8, seen=seen, leases=leases)
         if confirmed is not None and news.confirmed is not None:
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -9,9 +9,11 @@
 
 from oakramp.common.structured_logging import EventLogger
 from oakramp.control import budget  # noqa: F401  it enters its controller
+from oakramp.control.command_context import CommandContext
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.shard_leader import CommandContext, ShardLeader, Transaction
+from oakramp.control.shard_leader import ShardLeader
 from oakramp.control.shards import pack_entry, shard_of_key
+from oakramp.control.transaction import Transaction
 from oakramp.control.voter import Voter, entry_key
 from oakramp.rpc.codec import pack
 from oakramp.storage.circular_log import CircularLog
--- a/tests/test_blueprints.py
+++ b/tests/test_blueprints.py
@@ -6,7 +6,7 @@
 import oakramp.control.plan  # noqa: F401  it enters its controller
 from oakramp.common.constants import BLUEPRINTS_KEPT
 from oakramp.common.errors import QuorumUnavailableError, StorageFullError, Verdict
-from oakramp.control.shard_leader import LeaderRegistry
+from oakramp.control.leader_registry import LeaderRegistry
 from oakramp.testbed.plan import blueprint_of
 from oakramp.testbed.simfleet import SimFleet
 from test_budgets import Rig
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -8,8 +8,9 @@
 from oakramp.common.constants import TURNS_LIMIT
 from oakramp.common.errors import OakrampError
 from oakramp.control import budget, idempotency  # noqa: F401  they enter their controllers
+from oakramp.control.command_context import CommandContext
 from oakramp.control.controllers import CONTROLLERS
-from oakramp.control.shard_leader import CommandContext, Transaction
+from oakramp.control.transaction import Transaction
 from oakramp.gossip.state_table import StateTable
 
 
