--- a/packages/control/oakramp/control/controllers.py
+++ b/packages/control/oakramp/control/controllers.py
@@ -1,28 +1,57 @@
-"""Controllers: what the commands on each kind of owned key do.
+"""Controllers: what the commands on each kind of control key do.
 
-A command sees a view of the slot's entries and writes to it; whatever it wrote is on a majority of disks
-before its result leaves the owner. Commands are plain functions: no waiting, no I/O, no wall time.
+A command reads and changes the shard's entries in a transaction; whatever it changed is on a majority of disks before
+its result leaves the shard's leader. Commands are plain functions: they do not wait, do no I/O and know no wall time.
 """
 
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any
+
 from oakramp.common.errors import MethodNotFoundError, NotFoundError
 from oakramp.common.registry import Registry
+from oakramp.control.transaction import Transaction
+
+Command = Callable[[Transaction, str, dict[str, Any]], Any]  # (transaction, key, arguments) -> a JSON value
+Snapshot = Callable[[Transaction, str], tuple[int, dict[str, bytes]]]  # (transaction, key) -> version, items by name
 
 CONTROLLERS = Registry("controller")
-SHARD_SOURCE = "slot/"  # before a slot's number: the news source that names its owner
+SHARD_SOURCE = "slot/"  # before a shard's number: the gossip source that names its leader
 
 
 class Controller:
-    """`commands` maps names to functions (view, key, arguments) -> JSON-able result. Those in `growing` are refused
-    when the control state is nearly full; those in `replacing` only if what they leave would not fit a second time."""
+    """The commands of one kind of key, by name."""
 
-    def __init__(self, commands, snapshot=None, cleanup=None, growing=(), replacing=()):
+    def __init__(
+        self,
+        commands: Mapping[str, Command],
+        snapshot: Snapshot | None = None,
+        cleanup: str | None = None,
+        growing: Iterable[str] = (),
+        replacing: Iterable[str] = (),
+    ) -> None:
+        """Describes a kind of key.
+
+        Args:
+            commands: the commands by name.
+            snapshot: what is published of a key by gossip; None if nothing is.
+            cleanup: the command that removes what has expired, if there is one.
+            growing: commands that are rejected when the control state is nearly full.
+            replacing: commands that are rejected if a snapshot of what they leave would not fit beside the present one.
+        """
         self._commands = Registry("command")
         for name, function in commands.items():
             self._commands.enter(name)(function)
         self.snapshot, self.cleanup = snapshot, cleanup
         self.growing, self.replacing = frozenset(growing), frozenset(replacing)
 
-    def run(self, transaction, key, command, arguments):
+    def run(self, transaction: Transaction, key: str, command: str, arguments: dict[str, Any]) -> Any:
+        """Runs a command on the key.
+
+        Raises:
+            MethodNotFoundError: this release has no such command.
+        """
         try:
             function = self._commands.find(command)
         except NotFoundError as error:
@@ -30,8 +59,8 @@
         return function(transaction, key, arguments)
 
 
-def published_by(entry_key):
-    """The news source that an entry belongs to, or None if its kind is not published."""
+def published_by(entry_key: str) -> str | None:
+    """The gossip source that an entry belongs to, or None if its kind is not published."""
     key = entry_key.partition("#")[0]
     try:
         controller = CONTROLLERS.find(key.partition("/")[0])
@@ -40,6 +69,6 @@
     return key if controller.snapshot else None
 
 
-def cleanups_for(keys):
-    """The (key, command) pairs by which an owner lets old things go."""
+def cleanups_for(keys: Iterable[str]) -> list[tuple[str, str]]:
+    """The (key, command) pairs that remove what has expired of these keys."""
     return [(key, command) for key in keys for command in [CONTROLLERS.find(key.partition("/")[0]).cleanup] if command]
--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -9,7 +9,7 @@
 
 import json
 from dataclasses import replace
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from oakramp.common.constants import (
     CANDIDATE_TURN_TIME,
@@ -200,7 +200,7 @@
             self._orders = live_ids, [ranked(live_ids, f"slot{number}") for number in range(SHARDS)]
         return self._orders[1][shard]
 
-    def _answering_voters(self):
+    def _answering_voters(self) -> set[str]:
         """Node ids of the voters that have answered this node's gossip requests lately."""
         return {
             node_id
@@ -208,7 +208,7 @@
             if self._node.gossip_client.answers_lately(address)
         }
 
-    def _report_partitioned(self, is_partitioned):
+    def _report_partitioned(self, is_partitioned: bool) -> None:
         """Publishes whether this member reaches a majority, as far as it is still heard.
 
         Shards then go to other members at once, without a candidate's turn that this one could not use.
@@ -219,7 +219,7 @@
             self._node.gossip_client.describe(replace(me, state=state))
             self._log.info("member_partitioned" if is_partitioned else "member_rejoined")
 
-    def _is_handed_over(self, shard):
+    def _is_handed_over(self, shard: int) -> bool:
         """Whether another member has asked this one for the shard within the time of a lease.
 
         That member may not count as live here yet, as when it is just back from a partition; a failover of this node
@@ -227,7 +227,7 @@
         """
         return self._reactor.seconds() < self._released_at.get(shard, float("-inf")) + LEASE
 
-    def _is_candidate_now(self, shard, live_ids):
+    def _is_candidate_now(self, shard: int, live_ids: list[str]) -> bool:
         """Whether it is this node's turn: the first live candidate's, as long as the shard gets a leader.
 
         If the shard stays without one (a partition may keep the first candidate from the voters only), the next ones
@@ -242,7 +242,7 @@
         late_s = leaderless_s - CONDITION_AGE - CANDIDATE_TURN_TIME
         return position == (0 if late_s <= 0 else (1 + int(late_s / CANDIDATE_TURN_TIME)) % len(order))
 
-    async def _ask_release(self, shard):
+    async def _ask_release(self, shard: int) -> int | None:
         """The epoch of the known leader if it gave the shard up on request; None otherwise."""
         known = self.known_leader(shard)
         if known is None or known.node_id not in self._voter.voting_config.everyone:
@@ -255,12 +255,12 @@
             self._log.warning("shard_release_unanswered", shard=shard, owner=known.node_id, reason=error.reason)
             return None
 
-    def _next_epoch(self, shard, released_epoch):
+    def _next_epoch(self, shard: int, released_epoch: int | None) -> int:
         known = self.known_leader(shard)
         seen = self._seen_epochs.get(shard, 0), known.epoch if known else 0
         return max(*seen, released_epoch or 0, self._voter.promised_epoch(shard)) + 1
 
-    async def _confirm_first_lease(self, leader, voting_config_version):
+    async def _confirm_first_lease(self, leader: ShardLeader, voting_config_version: int) -> None:
         """Asks for the leader's first lease, again and again while voters pass to this voting configuration.
 
         Under a later one nothing is asked: its majority need not hold what was prepared.
@@ -269,7 +269,7 @@
             self._registry.leases.confirm({leader.shard: leader})
             await sleep(self._reactor, LEASE_RENEW / 4)
 
-    async def _serve_release(self, _peer, arguments):
+    async def _serve_release(self, _peer: Any, arguments: Any) -> int | None:
         leader = self._registry.active.get(arguments.shard)
         if leader is None:
             return None
--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Container
+from collections.abc import Container, Mapping
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
@@ -141,7 +141,7 @@
         if self._voter.is_full():
             raise StorageFullError("the control state is full; end programs", retry_after=FULL_RETRY)
 
-    def refuse_unfit(self, leader: ShardLeader, changes: dict[str, bytes | None]) -> None:
+    def refuse_unfit(self, leader: ShardLeader, changes: Mapping[str, bytes | None]) -> None:
         """Rejects changes after which a snapshot of the shard would not fit beside the present one.
 
         Raises:
@@ -170,7 +170,7 @@
             raise NotShardLeaderError(f"shard {shard} is led elsewhere", detail=known and known.address)
         return await leader.do(key, command, arguments)
 
-    async def _serve_call(self, _peer, arguments):
+    async def _serve_call(self, _peer: Any, arguments: Any) -> str:
         try:
             answer = await self.call(arguments.key, arguments.command, json.loads(arguments.arguments_json))
             return pack_json(answer).decode()
@@ -187,12 +187,12 @@
             arguments_json=arguments.arguments_json,
         )
 
-    def _answers_lately(self, address):
+    def _answers_lately(self, address: str | None) -> bool:
         if address in (None, self._node.net.address):
             return False
         return self._node.gossip_client.answers_lately(address, VOTING_CONFIG_HEARD)
 
-    async def _cleanup(self):
+    async def _cleanup(self) -> None:
         """Removes expired entries: a page of keys of each shard, as one command."""
         for leader in list(self.active.values()):
             if not leader.holds_lease():
@@ -202,5 +202,5 @@
             except OakrampError as error:
                 self.log.warning("cleanup_failed", shard=leader.shard, reason=str(error))
                 continue
-            for key, error in failed:
-                self.log.warning("cleanup_failed", shard=leader.shard, key=key, reason=str(error))
+            for key, cause in failed:
+                self.log.warning("cleanup_failed", shard=leader.shard, key=key, reason=str(cause))
--- a/packages/control/oakramp/control/lease.py
+++ b/packages/control/oakramp/control/lease.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING
+from collections.abc import Awaitable, Callable, Collection, Iterable
+from typing import TYPE_CHECKING, Any
 
 from oakramp.common.constants import LEASE, LEASE_FRESH, LEASE_HELD
 from oakramp.common.tasks import spawn
@@ -67,7 +67,7 @@
         }
         self._registry.leases.confirm_at(self._round, [own_id])
 
-    def renewal_for(self, address: str) -> tuple[idl.LeaseRenewal, Callable[[Iterable[int]], None]] | None:
+    def renewal_for(self, address: str) -> tuple[Any, Callable[[Iterable[int]], None]] | None:
         """The renewal for the voter at this address, and what counts the shards it confirms; None if it is no voter."""
         node_id, round_ = self._voters.get(address), self._round
         if node_id is None or round_ is None:
@@ -119,11 +119,11 @@
             round_ = LeaseRound(leaders, self._voter.voting_config, self._reactor.seconds())
             self.confirm_at(round_, round_.voting_config.everyone)
 
-    def confirm_at(self, round_: LeaseRound, voter_ids: Iterable[str]) -> None:
+    def confirm_at(self, round_: LeaseRound, voter_ids: Collection[str]) -> None:
         """Asks each of these voters with a call of its own."""
         leases = [idl.ShardEpoch(shard=shard, epoch=leader.epoch) for shard, leader in round_.leaders.items()]
 
-        async def ask(node_id, response):
+        async def ask(node_id: str, response: Awaitable[Any]) -> None:
             round_.take(node_id, {lease.shard for lease in await response})
 
         for node_id, response in self._registry.ask_voters("confirm", voter_ids, leases=leases).items():
--- a/packages/control/oakramp/control/previous_leases.py
+++ b/packages/control/oakramp/control/previous_leases.py
@@ -1,26 +1,39 @@
-"""Waiting until no earlier lease of a slot can be held any more."""
+"""Waiting until no earlier lease of a shard can be held any more."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
 
 from twisted.internet.defer import Deferred
 
 
 class PreviousLeases:
-    """The terms of a slot's earlier epochs. They have ended when the last one that was confirmed runs out, or as soon
-    as each process that might hold one has said that it doesn't: after an outage of all, that is at once."""
+    """The leases of a shard's earlier epochs.
+
+    They have ended when the last one that was confirmed runs out, or as soon as each process that might hold one has
+    reported that it does not: after an outage of all nodes, that is at once.
+    """
 
-    def __init__(self, reactor, holders):
-        self._reactor, self._left, self._outcome = reactor, set(holders), Deferred()
+    def __init__(self, reactor: Any, holders: Iterable[str]) -> None:
+        """`holders` are the node ids of all voters that may hold a lease."""
+        self._reactor = reactor
+        self._left = set(holders)
+        self._outcome: Deferred[None] = Deferred()
 
-    def holds_none(self, node_id):
+    def holds_none(self, node_id: str) -> None:
+        """This node has reported that it holds no lease of the shard and will not come to one of an earlier epoch."""
         self._left.discard(node_id)
         if not self._left:
             self._end()
 
-    def _end(self):
-        if not self._outcome.called:
-            self._outcome.callback(None)
-
-    async def ended(self, at):
+    async def ended(self, at: float) -> None:
+        """Returns at this time (monotonic seconds), or before if no node is left that may hold a lease."""
         call = self._reactor.callLater(max(0.0, at - self._reactor.seconds()), self._end)
         await self._outcome
         if call.active():
             call.cancel()
+
+    def _end(self) -> None:
+        if not self._outcome.called:
+            self._outcome.callback(None)
--- a/packages/control/oakramp/control/publication.py
+++ b/packages/control/oakramp/control/publication.py
@@ -50,7 +50,7 @@
             },
         )
         transaction = Transaction(leader.entries, None)
-        for key in sorted({published_by(changed) for changed in changed_keys} - {None}):
+        for key in sorted({key for key in map(published_by, changed_keys) if key is not None}):
             leader.sources.add(key)
             controller = CONTROLLERS.find(key.partition("/")[0])
             version, values = controller.snapshot(transaction, key)
@@ -65,6 +65,6 @@
         now = self._reactor.seconds()
         return now if leader.holds_lease() else None
 
-    def _key_confirmed_at(self, leader, key):
+    def _key_confirmed_at(self, leader: ShardLeader, key: str) -> float | None:
         confirmed_at = self.confirmed_at(leader)
         return confirmed_at if confirmed_at is None else self.poll_times.get(key, confirmed_at)
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -1,27 +1,39 @@
-"""Whether this control node is in touch with a majority of the roster, and for how long it has been.
+"""Whether this control node is in contact with a majority of the voters, and for how long it has been.
 
-What a node knows of who is alive comes with its pulls. A process that has just started, was frozen or was cut off has
-not heard of everybody yet, so nothing may be refused because somebody was not heard of before the node has been in
-touch for longer than any member may stay silent.
+What a node knows of live members comes with its gossip requests. A process that has just started, was frozen or was
+partitioned has not heard of everybody yet. So nothing may be rejected because a member was silent, before the node has
+been in contact for longer than any member may stay silent.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
 from oakramp.common.constants import CONTACT_GAP, MAJORITY_WAIT, VIEW_AGE
 from oakramp.common.errors import DeadlineExceededError, QuorumUnavailableError
 from oakramp.common.tasks import quorum_of, within
 
+if TYPE_CHECKING:
+    from oakramp.common.structured_logging import EventLogger
+    from oakramp.control.voting_configuration import VotingConfiguration
+    from oakramp.gossip.node import Node
+
 
 class QuorumContact:
-    """Invariant: `_since` is None, or each look since then found that a majority had answered this node's own pulls
-    lately, and no two looks were further apart than CONTACT_GAP. Times are this process's monotonic ones."""
+    """How long this node has been in contact with a majority, by polls of who has answered its gossip requests.
 
-    def __init__(self, reactor, log):
+    Invariant: `_since` is None, or each poll since then found that a majority had answered lately, and no two polls
+    were further apart than CONTACT_GAP. Times are monotonic seconds of this process.
+    """
+
+    def __init__(self, reactor: Any, log: EventLogger) -> None:
         self._reactor, self._log = reactor, log
-        self._since = None
+        self._since: float | None = None
         self._polled_at = reactor.seconds()
         self._is_lost = True
 
-    def poll(self, hears_majority):
-        """Takes in one look at who has answered lately."""
+    def poll(self, hears_majority: bool) -> None:
+        """Takes in whether a majority has answered lately."""
         now = self._reactor.seconds()
         if now - self._polled_at > CONTACT_GAP:
             self._since = None
@@ -37,27 +49,33 @@
             else:
                 self._log.warning("quorum_contact_lost")
 
-    def is_lost(self):
-        """Whether the last look found no majority."""
+    def is_lost(self) -> bool:
+        """Whether the last poll found no majority."""
         return self._is_lost
 
-    def seconds(self):
-        """For how long, without a gap, this node has been in touch; 0 if it is not known to be now."""
+    def seconds(self) -> float:
+        """For how many seconds, without a gap, this node has been in contact; 0 if it is not known to be now."""
         now = self._reactor.seconds()
         if self._since is None or now - self._polled_at > CONTACT_GAP:
             return 0.0
         return now - self._since
 
-    def knows_members(self):
-        """Whether who was not heard of has truly been silent, as far as a majority can tell."""
+    def knows_members(self) -> bool:
+        """Whether a member that was not heard of has truly been silent, as far as a majority can tell."""
         return self.seconds() >= VIEW_AGE
 
 
-async def answers_now(node, voter_addresses, voting_config, least_version=0):
-    """Whether a majority of the roster answers a question that is asked from here now, within MAJORITY_WAIT, and stands
-    in this version of it or in a later one."""
+async def answers_now(
+    node: Node, voter_addresses: dict[str, str], voting_config: VotingConfiguration, least_version: int = 0
+) -> bool:
+    """Whether a majority answers within MAJORITY_WAIT and has this version of the voting configuration or a later one.
+
+    Args:
+        voter_addresses: the address of each voter by node id.
+        least_version: the version that a voter must have to be counted.
+    """
 
-    async def ask(node_id, address):
+    async def ask(node_id: str, address: str) -> None:
         version = await node.net.call(address, "rosterVersion", MAJORITY_WAIT, to=node_id)
         if version < least_version:
             raise QuorumUnavailableError(f"{node_id} stands in version {version} yet")
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
@@ -105,11 +105,11 @@
     def _put(self, work: Callable[[Transaction], Any]) -> defer.Deferred[Any]:
         if not self.holds_lease():
             raise NotShardLeaderError(f"no lease for shard {self.shard}")
-        answer = defer.Deferred()
+        answer: defer.Deferred[Any] = defer.Deferred()
         self._queue.put((work, answer))
         return answer
 
-    async def _run(self):
+    async def _run(self) -> None:
         while not self.ended:
             self.idle = True
             first = await self._queue.take()
@@ -121,11 +121,11 @@
         if len(self._queue) < CONTROL_QUEUE_LIMIT:
             self._queue.put(None)
 
-    async def _work(self, batch):
+    async def _work(self, batch: list[tuple[Callable[[Transaction], Any], defer.Deferred[Any]] | None]) -> None:
         write_again = None in batch
-        batch = [entry for entry in batch if entry is not None]
+        commands = [entry for entry in batch if entry is not None]
         transaction, outcomes = Transaction(self.entries, self._registry.context_for(self)), []
-        for work, answer in batch:
+        for work, answer in commands:
             try:
                 outcomes.append((answer, work(transaction)))
             except OakrampError as error:
@@ -137,7 +137,7 @@
                 continue
             answer.callback(outcome)
 
-    def _command(self, key, command, arguments, transaction):
+    def _command(self, key: str, command: str, arguments: dict[str, Any], transaction: Transaction) -> Any:
         """The command's result; one that fails leaves nothing in the transaction."""
         inner = transaction.nested()
         try:
@@ -155,7 +155,7 @@
         transaction.merge(inner)
         return result
 
-    def _cleanup_all(self, pairs, transaction):
+    def _cleanup_all(self, pairs: list[tuple[str, str]], transaction: Transaction) -> list[tuple[str, OakrampError]]:
         failed = []
         for key, command in pairs:
             try:
@@ -164,7 +164,7 @@
                 failed.append((key, error))
         return failed
 
-    async def _keep(self, changes, write_again):
+    async def _keep(self, changes: dict[str, bytes | None], write_again: bool) -> OakrampError | None:
         """None once the changes are on a majority and the lease still holds; else the error for all callers."""
         if changes or write_again:
             if not await self._registry.replicator.replicate(self, self.sequence + 1, changes):
@@ -181,7 +181,7 @@
             )
         return None
 
-    def growth(self, changes: dict[str, bytes | None]) -> int:
+    def growth(self, changes: Mapping[str, bytes | None]) -> int:
         """Bytes by which these changes make the shard larger."""
         return sum(
             (0 if value is None else len(key) + len(value))
@@ -189,7 +189,7 @@
             for key, value in changes.items()
         )
 
-    def _apply(self, changes):
+    def _apply(self, changes: dict[str, bytes | None]) -> None:
         for key, value in changes.items():
             previous = self.entries.pop(key, None)
             self.size -= 0 if previous is None else len(key) + len(previous)
@@ -211,7 +211,7 @@
 
         The rows of a key ("key#row") are skipped, not read.
         """
-        roots = []
+        roots: list[str] = []
         while len(roots) < most and (key := next(self.entries.irange(self.cleaned_to), None)) is not None:
             roots.append(key.partition("#")[0])
             self.cleaned_to = roots[-1] + AFTER_ROWS
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Coroutine, Iterable
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from twisted.internet.defer import Deferred
 
@@ -26,7 +26,7 @@
 RETRY_PAUSE = LEASE_RENEW / 4  # s; until a voter that is passing to this voting configuration is asked again
 
 
-def entries_of(pairs: Iterable[tuple[str, bytes | None]]) -> list[idl.Entry]:
+def entries_of(pairs: Iterable[tuple[str, bytes | None]]) -> list[Any]:
     """The (key, value) pairs as entries of a message; a value of None removes the key."""
     return [idl.Entry(key=key, value=value) for key, value in pairs]
 
@@ -92,7 +92,7 @@
         """Voters that lacked something at the last poll, counted once for each shard that this node leads."""
         return self._updates.behind if self._registry.active else 0
 
-    def _voters(self):
+    def _voters(self) -> list[VoterAddress]:
         return [VoterAddress(*pair) for pair in self._registry.voter_addresses().items()]
 
     def _propose(self, proposal: Proposal, change: ShardChange, voter_ids: Iterable[str]) -> Deferred:
@@ -112,7 +112,7 @@
             self._send(Append(voter, proposal, change, packed))
         return proposal.outcome
 
-    def _send(self, append):
+    def _send(self, append: Append) -> None:
         node_id, address = append.voter
         if append.change.leader.progress.is_stalled(node_id):
             self._finish_after(self._updates.await_update(append.voter, append.change), append)
@@ -122,7 +122,7 @@
         target = address, append.change.voting_config_version
         self._batchers[node_id].put(target, append.packed, partial(self._on_response, append))
 
-    def _on_response(self, append, response, error):
+    def _on_response(self, append: Append, response: Any, error: OakrampError | None) -> None:
         if error is None and response.taken:
             append.change.leader.progress.confirm(append.voter.node_id, append.change.sequence)
             append.proposal.settle(append.voter.node_id)
@@ -131,10 +131,10 @@
         else:  # the voter lacks something, is busy with this shard, or is of a release that takes changes one by one
             self._finish_after(self._updates.give(append.voter, append.change, response), append)
 
-    def _finish_after(self, update, append):
+    def _finish_after(self, update: Coroutine[Any, Any, None], append: Append) -> None:
         """Counts the voter once the update that brings it this change has ended."""
 
-        def on_end(_result, error):
+        def on_end(_result: None, error: OakrampError | None) -> None:
             if error is None:
                 append.proposal.settle(append.voter.node_id)
             else:
@@ -142,7 +142,7 @@
 
         drive(update, on_end)
 
-    def _on_error(self, append: Append, error: OakrampError) -> None:
+    def _on_error(self, append: Append, error: OakrampError | None) -> None:
         """A voter that is passing to this voting configuration is asked again by itself.
 
         Otherwise all voters would wait for one that is dead.
@@ -152,7 +152,7 @@
         else:
             append.proposal.settle(append.voter.node_id, error)
 
-    def _send_again(self, append, error):
+    def _send_again(self, append: Append, error: OakrampError | None) -> None:
         proposal, change = append.proposal, append.change
         if proposal.outcome.called:
             return
--- a/packages/control/oakramp/control/singleton_task.py
+++ b/packages/control/oakramp/control/singleton_task.py
@@ -1,26 +1,44 @@
-"""A duty that one node does at a time: the owner of a key. It changes hands with the key's slot, and whatever a
-former holder still asks for is fenced by the slot's epoch or lost against a newer version."""
+"""A periodic task that one node of the cluster runs at a time: the leader of a key's shard.
+
+It changes hands with the shard. What a former leader still writes is fenced by the shard's epoch at the voters, or
+loses against a newer version.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from oakramp.common.tasks import Repeater
 from oakramp.control.shards import shard_of_key
 
+if TYPE_CHECKING:
+    from oakramp.control.leader_registry import LeaderRegistry
+    from oakramp.control.shard_leader import ShardLeader
+    from oakramp.gossip.node import Node
+
 
 class SingletonTask:
-    def __init__(self, node, leaders, key, pause):
-        self._node, self._owners, self._shard = node, leaders, shard_of_key(key)
+    """Runs `_work` every `pause` seconds while this node leads the shard of `key`."""
+
+    def __init__(self, node: Node, leaders: LeaderRegistry, key: str, pause: float) -> None:
+        self._node = node
+        self._owners = leaders
+        self._shard = shard_of_key(key)
         self._repeater = Repeater(node.reactor, pause, self._round, node.log)
 
-    def start(self):
+    def start(self) -> None:
+        """Starts the rounds."""
         self._repeater.start()
 
-    def stop(self):
+    def stop(self) -> None:
+        """Starts no further round."""
         self._repeater.stop()
 
-    async def _round(self):
-        owner = self._owners.active.get(self._shard)
-        if owner is not None:
-            await self._work(owner)
+    async def _round(self) -> None:
+        leader = self._owners.active.get(self._shard)
+        if leader is not None:
+            await self._work(leader)
 
-    async def _work(self, owner):
-        """One round of the duty by its present holder."""
+    async def _work(self, leader: ShardLeader) -> None:
+        """One round of the task, on the node that leads the shard at its beginning."""
         raise NotImplementedError
--- a/packages/control/oakramp/control/transaction.py
+++ b/packages/control/oakramp/control/transaction.py
@@ -1,42 +1,62 @@
-"""What one batch of an owner's commands sees and changes."""
+"""What one batch of a leader's commands reads and changes."""
+
+from __future__ import annotations
 
 from collections import ChainMap
+from collections.abc import Iterator, MutableMapping
 from itertools import takewhile
+from typing import TYPE_CHECKING, Any
 
 from oakramp.control.shards import pack_entry, unpack_entry
 
+if TYPE_CHECKING:
+    from sortedcontainers import SortedDict
+
+    from oakramp.control.command_context import CommandContext
+
 
 class Transaction:
-    """What a command sees and writes: the committed entries under those of its own batch."""
+    """The committed entries of a shard under the uncommitted ones of its own batch.
 
-    def __init__(self, entries, context):
+    Values are JSON values; they are packed when they are put (`pack_entry`).
+    """
+
+    def __init__(self, entries: SortedDict[str, bytes], context: CommandContext | None) -> None:
         self._entries = entries
-        self._layers = ChainMap({}, entries)
-        self.context = context
+        self._layers: ChainMap[str, Any] = ChainMap({}, entries)
+        self.context: Any = context
 
-    def get(self, key):
+    def get(self, key: str) -> Any:
+        """The value of the key, or None."""
         value = self._layers.get(key)
         return None if value is None else unpack_entry(value)
 
-    def packed(self, key):
-        """The entry as it is kept, for who passes it on or compares it as it is."""
+    def packed(self, key: str) -> bytes | None:
+        """The value as it is stored, to pass it on or compare it as it is."""
         return self._layers.get(key)
 
-    def put(self, key, value):
+    def put(self, key: str, value: Any) -> None:
+        """Sets the key; None removes it.
+
+        Raises:
+            TooLargeError: the packed value is longer than an entry may be.
+        """
         self._layers.maps[0][key] = pack_entry(value)
 
-    def committed_keys(self, prefix):
-        """The keys with this prefix among the committed entries, in order; what this batch does is not seen."""
+    def committed_keys(self, prefix: str) -> Iterator[str]:
+        """The keys with this prefix among the committed entries, in order; changes of this batch are not seen."""
         return takewhile(lambda key: key.startswith(prefix), self._entries.irange(prefix))
 
-    def nested(self):
-        """A view for one command, so that one that fails leaves nothing behind."""
+    def nested(self) -> Transaction:
+        """A nested transaction for one command; unless it is merged, it leaves nothing behind."""
         transaction = Transaction(self._entries, self.context)
         transaction._layers = self._layers.new_child()
         return transaction
 
-    def merge(self, transaction):
+    def merge(self, transaction: Transaction) -> None:
+        """Takes the changes of a nested transaction over."""
         self._layers.maps[0].update(transaction._layers.maps[0])
 
-    def changes(self):
+    def changes(self) -> MutableMapping[str, bytes | None]:
+        """The packed values by key that this batch has changed; None where the key is removed."""
         return self._layers.maps[0]
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -5,6 +5,7 @@
 
 import json
 from dataclasses import dataclass, field
+from typing import Any
 
 from sortedcontainers import SortedDict
 
@@ -67,7 +68,10 @@
     def __init__(self, node, ring):
         self._node_id, self._ring, self._seconds = node.node_id, ring, node.reactor.seconds
         self._log = node.log
-        self.voting_config = VotingConfiguration(json.loads(ring.table["roster"])) if "roster" in ring.table else None
+        # VotingConfiguration, or None until a cluster is formed; only what runs before that has to look.
+        self.voting_config: Any = (
+            VotingConfiguration(json.loads(ring.table["roster"])) if "roster" in ring.table else None
+        )
         self._tables = {shard: ShardTable() for shard in range(SHARDS)}
         self._owners = {
             shard: SerialExecutor(CONTROL_QUEUE_LIMIT, f"voter{shard}", node.log) for shard in range(SHARDS)
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -8,6 +8,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 MOST_FILES_WITH_EXCEPTIONS = 161  # files; fewer with each package that is finished
+LEAST_TYPED_MODULES = 14  # modules; checked strictly by mypy, more with each one that is finished
 SYSTEM_PROGRAMS = {"python3": "python3", "pip": "python3-pip"}  # what the build line calls: the package that brings it
 
 
@@ -61,3 +62,19 @@
             for path in (ROOT / folder).rglob("*.py"):
                 blanket = re.findall(r"#\s*noqa(?!:)|#\s*ruff:\s*noqa(?!:)", path.read_text(encoding="utf-8"))
                 self.assertFalse(blanket if path.name != "test_build.py" else [], path)
+
+
+class Types(unittest.TestCase):
+    """The modules that mypy checks strictly, listed in pyproject.toml; the list only grows."""
+
+    def setUp(self):
+        self.mypy = toml("pyproject.toml")["tool"]["mypy"]
+
+    def test_list_of_typed_modules_only_grows(self):
+        self.assertGreaterEqual(len(set(self.mypy["files"])), LEAST_TYPED_MODULES)
+        self.assertEqual([name for name in self.mypy["files"] if not (ROOT / name).is_file()], [])
+
+    def test_they_are_checked_strictly_in_ci(self):
+        self.assertIs(self.mypy["strict"], True)
+        self.assertNotIn("disable_error_code", self.mypy)
+        self.assertIn("\nmypy\n", (ROOT / ".ci" / "run").read_text(encoding="utf-8"))
