--- a/packages/common/oakramp/common/errors.py
+++ b/packages/common/oakramp/common/errors.py
@@ -8,6 +8,8 @@
 
 
 class Verdict(str, Enum):
+    """Whether the request may have run."""
+
     NO = "no"
     MAYBE = "maybe"
     YES = "yes"
@@ -28,6 +30,7 @@
         self.detail = detail
 
     def to_json(self):
+        """The error as callers and operators see it (docs/api.md)."""
         shown = {"error": self.code, "reason": self.reason, "verdict": self.verdict.value}
         return shown | ({"detail": self.detail} if self.detail is not None else {})
 
@@ -41,15 +44,21 @@
 
 
 class BadRequestError(RequestRejectedError):
+    """Wrong JSON, field, type or value; `detail` has a line for each fault."""
+
     code = "badRequest"
 
 
 class TooLargeError(RequestRejectedError):
+    """A body or entry over its limit."""
+
     status = 413
     code = "tooLarge"
 
 
 class NotFoundError(RequestRejectedError):
+    """No such path, partner, route, program, key or version."""
+
     status = 404
     code = "unknown"
 
@@ -76,6 +85,8 @@
 
 
 class ConflictError(RequestRejectedError):
+    """The id or key was used for another request."""
+
     status = 409
     code = "conflict"
 
@@ -95,6 +106,8 @@
 
 
 class ValidationFailedError(RequestRejectedError):
+    """A plan or configuration with faults; `detail` has the path of each."""
+
     status = 422
     code = "invalid"
 
@@ -107,11 +120,15 @@
 
 
 class BudgetExhaustedError(RequestRejectedError):
+    """The program has put out its budget; final for this turn id."""
+
     status = 402
     code = "budgetEmpty"
 
 
 class OverloadedError(RequestRejectedError):
+    """It cannot be served in time; come back after `retry_after` seconds."""
+
     status = 503
     code = "overloaded"
 
@@ -124,6 +141,8 @@
 
 
 class DeadlineExceededError(RequestRejectedError):
+    """The time left was used up before it was sent anywhere."""
+
     status = 504
     code = "timeSpent"
 
@@ -179,10 +198,14 @@
 
 
 class StorageError(OakrampError):
+    """The circular log cannot be used."""
+
     code = "ring"
 
 
 class StorageFullError(StorageError):
+    """The disk's share for the log is used up; nothing was done."""
+
     code = "ringFull"
     verdict = Verdict.NO
     status = 507
--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -18,6 +18,8 @@
 
 
 class AdminApi:
+    """The HTTP interface of `oakrampctl` (docs/api.md)."""
+
     def __init__(self, control):
         self._control, self._node, self._client = control, control.node, control.majority_client
         web = control.web
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -35,6 +35,8 @@
 
 
 class ControlNode:
+    """A control node, composed: voter, leaders, periodic tasks, operators' interfaces and metrics."""
+
     shard_count = SHARDS
 
     def __init__(self, reactor, env, disk, random, sink, wall=time.time, dialect=None):
@@ -79,6 +81,7 @@
             self.metrics.gauge(name, ask)
 
     def start(self):
+        """Listens, joins the gossip, and starts the periodic tasks once what this node bootstraps is on its disk."""
         self.node.start()
         self.web.listen()
         if self.operator:
@@ -105,6 +108,7 @@
             self.platform.start()
 
     async def stop(self):
+        """Hands the shards over, finishes requests under way and stops; other nodes are told first."""
         self._starting.cancel()
         await self.node.gossip_client.say_leaving()
         if self.platform:
--- a/packages/control/oakramp/control/daemon.py
+++ b/packages/control/oakramp/control/daemon.py
@@ -6,6 +6,7 @@
 
 
 def main():
+    """Runs a control node with the settings of the command line."""
     run_daemon(
         "oakramp-control",
         CONTROL_SETTINGS,
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -72,6 +72,7 @@
 
 
 def binding_faults(name, binding):
+    """What is wrong with a route of a plan, a text for each fault that begins with its path."""
     path = f"bindings.{name}"
     if not is_name(name):
         return [f"{path}: is no name"]
--- a/packages/control/oakramp/control/prepare_phase.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -32,6 +32,7 @@
         ]
 
     async def prepare(self):
+        """Asks all voters to promise the epoch. Raises QuorumUnavailableError if no majority does."""
         voting_config = self._voter.voting_config
         reached, answers = await quorum_of(
             {voter[0]: self._promise_of(voter, voting_config) for voter in self._owners.voter_addresses().items()},
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -49,6 +49,7 @@
 
     @staticmethod
     def rows_of(body):
+        """The rows of a page, and None as there is no next page."""
         rows = parse_json(body, PLATFORM_LIMIT, "list").get("replicas")
         if not isinstance(rows, list):
             raise PlatformUnavailableError("the list has no replicas")
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -120,6 +120,8 @@
         self.outcome = defer.Deferred()
 
     def settle(self, node_id, error=None):
+        """Counts the answer of a voter: it has the change on disk, or `error` says why not. The outcome fires once no
+        further answer can alter it."""
         self._pending.discard(node_id)
         if error is not None:
             self._errors[node_id] = error
@@ -267,6 +269,7 @@
         return self.is_behind(voter_id) and self.of(voter_id).unanswered > UNANSWERED_STEPS
 
     def outrank(self, voter_id, epoch, now):
+        """Notes that the voter has promised this later epoch, and since when (monotonic seconds)."""
         known = self.of(voter_id).outranked
         if known is None or known.epoch != epoch:
             self.of(voter_id).outranked = HigherPromise(epoch, now)
--- a/packages/control/oakramp/control/routing.py
+++ b/packages/control/oakramp/control/routing.py
@@ -166,6 +166,7 @@
 
 
 def check_table(table):
+    """The table itself. Raises ValidationFailedError with its faults, if it has any."""
     faults = table_faults(table)
     if faults:
         raise ValidationFailedError("; ".join(faults[:FAULTS_TOLD]), detail=faults[:FAULTS_TOLD])
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -122,6 +122,8 @@
         self._node, self._voter, self._owners, self._client = node, voter, leaders, client
 
     async def call(self, key, command, arguments, time_left):
+        """Runs a command at the key's leader within `time_left` seconds, for an operator. Raises
+        QuorumUnavailableError as soon as this node is known to reach no majority."""
         asking = begin(self._client.call(key, command, arguments, time_left))
         waiting = shielded(asking)  # what is under way shares connections with other calls and ends by itself
         asking.addErrback(lambda _: None)
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -94,6 +94,7 @@
 
     @classmethod
     def from_state_table(cls, state_table):
+        """The newest membership that gossip has brought to this node; an empty one before the first."""
         rows = state_table.values(STORES_KEY)
         return cls(json.loads(rows["set"]) if "set" in rows else EMPTY)
 
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -43,6 +43,7 @@
         self.size = sum(len(key) + len(value) for key, value in self.entries.items())
 
     def head(self, **changes):
+        """The row of promise and head as it is stored, with these values changed: a JSON list in the order of HEAD."""
         values = vars(self) | changes
         return pack_json([values[name] for name in HEAD])
 
@@ -65,6 +66,8 @@
 
 
 class Voter:
+    """The voter of one node: promises, leases and a copy of each shard, all on its disk before it answers."""
+
     def __init__(self, node, ring):
         self._node_id, self._ring, self._seconds = node.node_id, ring, node.reactor.seconds
         self._log = node.log
@@ -150,6 +153,7 @@
         return self._seconds() - since
 
     def is_full(self):
+        """Whether the log holds so much that a command that grows the state is rejected."""
         largest = max(table.size for table in self._tables.values())
         room = self._ring.capacity() - largest  # beside it must go in once more
         return self._ring.live_bytes() > min(CONTROL_FULL * self._ring.capacity(), room)
@@ -163,6 +167,7 @@
         return SHARD_FULL * self._ring.capacity()
 
     def stop(self):
+        """Ends the commands under way."""
         for owner in self._owners.values():
             owner.stop()
 
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -58,6 +58,9 @@
 
 
 class VotingConfiguration:
+    """One version of the voting configuration. While it changes, `next` holds the members of the version to come, and
+    a quorum needs majorities of both."""
+
     def __init__(self, record):
         self.record, self.version = record, record["version"]
         self.members, self.next = record["members"], record.get("next")
@@ -65,6 +68,7 @@
         self.named = self.next or self.members  # whom slots are named for: a leaving member hands over early
 
     def is_quorum(self, node_ids):
+        """Whether these nodes include a majority of the members, and of the next members where there are some."""
         return all(
             len(node_ids & member_ids.keys()) > len(member_ids) // 2
             for member_ids in (self.members, self.next)
--- a/packages/membership/oakramp/membership/members.py
+++ b/packages/membership/oakramp/membership/members.py
@@ -13,6 +13,8 @@
 
 @dataclass(frozen=True)
 class Member:
+    """The row in which a node describes itself; spelled on the wire as MEMBER_KEYS says."""
+
     node_id: str
     boot: str
     kind: str
@@ -46,6 +48,7 @@
         self._gossip_peers = None, None
 
     def note(self, member, seen_at):
+        """Takes in a row that was current at `seen_at` (monotonic seconds here); an old one changes nothing."""
         key = (member.node_id, member.boot)
         if self._reactor.seconds() - seen_at > FORGET_AGE:
             return
@@ -74,6 +77,7 @@
         return {node_id: (self._rows[key], now - self._seen_at[key]) for node_id, key in self._latest.items()}
 
     def condition(self, node_id):
+        """LIVE, LEAVING, PARTED (it reaches no majority) or SILENT for longer than CONDITION_AGE."""
         key = self._latest.get(node_id)
         if key is None or self._reactor.seconds() - self._seen_at[key] > CONDITION_AGE:
             return SILENT
@@ -99,6 +103,7 @@
         )
 
     def live(self, kind=None):
+        """The members that are live, of one kind or of all."""
         return [
             member
             for member, age in self.newest().values()
--- a/packages/storage/oakramp/storage/circular_log.py
+++ b/packages/storage/oakramp/storage/circular_log.py
@@ -136,6 +136,7 @@
         self.head, self.checksum = value[:COLD_HEAD], zlib.crc32(value)
 
     def read(self, disk):
+        """The value from its file. Raises StorageCorruptedError if its checksum differs."""
         value = disk.read_at(self.file_name, self.offset, self.length)
         if zlib.crc32(value) != self.checksum:
             raise StorageCorruptedError(
@@ -191,6 +192,8 @@
         )
 
     def enter(self, key, value, file_name, offset):
+        """Sets a key to a value that stands at this offset of this file; a long one is kept in memory only while it
+        is hot."""
         self.pop(key)  # what was hot of it is out of date
         if self._hot is None or len(value) < COLD_FROM:
             self._rows[key] = value
@@ -203,6 +206,7 @@
             self._hot[key] = value
 
     def pop(self, key):
+        """Removes a key, if it is there."""
         if type(self._rows.pop(key, None)) is ColdValue:
             self._hot.pop(key, None)
 
@@ -418,6 +422,7 @@
         )
 
     def condition(self):
+        """Figures for GET /condition: fault, seconds of a sync, bytes in use, capacity in bytes."""
         return {
             "broken": str(self.broken) if self.broken else None,
             "syncSeconds": round(self.sync_time, 4),
--- a/packages/storage/oakramp/storage/disk.py
+++ b/packages/storage/oakramp/storage/disk.py
@@ -14,6 +14,8 @@
 
 
 class FolderDisk:
+    """The files of a data folder. Syncs run on a thread of their own; everything else is done at once."""
+
     def __init__(self, reactor, folder):
         self._reactor, self._folder = reactor, folder
         self._make_folder()
@@ -83,6 +85,7 @@
         return data
 
     def remove(self, name):
+        """Removes a file durably."""
         handle = self._handles.pop(name, None)
         if handle is not None:
             os.close(handle)
@@ -90,6 +93,7 @@
         self._sync_folder(self._folder)
 
     def write(self, name, offset, data):
+        """Writes at this offset in bytes; not durable before the next sync of the file."""
         if name not in self._handles:
             self._handles[name] = os.open(self._path(name), os.O_RDWR)
         view = memoryview(data)
@@ -135,6 +139,7 @@
         self._sync_folder(self._folder)
 
     def close(self):
+        """Ends the thread and closes all files."""
         self._orders.put(None)
         self._thread.join()
         for handle in self._handles.values():
--- a/packages/storage/oakramp/storage/disk_check.py
+++ b/packages/storage/oakramp/storage/disk_check.py
@@ -32,12 +32,14 @@
         return os.path.getsize(self._path(name))
 
     def read(self, name, most=-1):
+        """The first `most` bytes of a file, or all of them."""
         if name in self.would_make:
             return bytes(self._file_size if most < 0 else most)
         with open(self._path(name), "rb") as file:
             return file.read(most)
 
     def read_at(self, name, offset, length):
+        """`length` bytes at this offset."""
         with open(self._path(name), "rb") as file:
             file.seek(offset)
             return file.read(length)
@@ -46,6 +48,7 @@
         self.would_make.append(name)
 
     def write(self, name, offset, data):
+        """Notes what a start would overwrite; nothing is written."""
         if name not in self.would_make:
             self.would_wipe.append((name, offset, len(data)))
 
--- a/packages/store/oakramp/store/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -30,6 +30,8 @@
 
 
 class AntiEntropy:
+    """Compares this store's conversations with those of its peers, and fetches what differs."""
+
     def __init__(self, node, table, metrics, stores):
         """`stores()` gives the store set as it stands here."""
         self._node, self._net, self._table, self._records = node, node.net, table, table.records
--- a/packages/store/oakramp/store/conversations.py
+++ b/packages/store/oakramp/store/conversations.py
@@ -49,6 +49,8 @@
 
 
 class ConversationClient:
+    """Quorum reads and writes of conversations that carry their turns in the versions."""
+
     def __init__(self, node):
         self._node = node
         self.calls = StoreClient(node)
--- a/packages/store/oakramp/store/record_table.py
+++ b/packages/store/oakramp/store/record_table.py
@@ -49,11 +49,13 @@
     touched_at: float
 
     def digest(self):
+        """A digest of the version vectors, equal on stores that have the same versions."""
         rows = sorted(clock_to_row(clock) for clock in self.versions)
         return blake2b(pack_json(rows), digest_size=12).hexdigest()
 
 
 def to_state(versions, covers=False, store_epoch=0, age=0.0, full=False):
+    """The message that carries these versions; `age` is in seconds since the conversation last changed."""
     return idl.LineState(
         covers=covers,
         full=full,
@@ -72,6 +74,7 @@
 
 
 def from_state(state):
+    """The versions of a message: value by version vector."""
     return {
         VersionVector(
             {part.node_id: (part.ceiling, part.dot) if part.dot else part.ceiling for part in version.clock}
@@ -163,6 +166,7 @@
             self._dots.subtract(dots_of(row.versions))
 
     def stop(self):
+        """Ends the commands under way."""
         for owner in self._owners:
             owner.stop()
 
@@ -332,6 +336,7 @@
         return page
 
     def digest_of(self, key):
+        """The digest of a conversation here, or None."""
         self._freshen()
         return self._buckets[bucket_of(key)].get(key)
 
--- a/packages/store/oakramp/store/records.py
+++ b/packages/store/oakramp/store/records.py
@@ -22,6 +22,7 @@
 
 
 def pack_record(turn_id, parent, line_key, keep_s, input_bytes, output_bytes):
+    """A turn's record as it travels and is stored; `keep_s` is its retention in seconds."""
     names = [name.encode() for name in (turn_id, parent or "", line_key)]
     return b"".join(
         [
@@ -63,6 +64,8 @@
 
 
 class _Row:
+    """Where a record stands, and until when it is kept."""
+
     __slots__ = ("parent", "line_key", "until")
 
     def __init__(self, parent, line_key, until):
@@ -110,6 +113,7 @@
         return page
 
     def line_of(self, turn_id):
+        """The key of the conversation that a turn belongs to, or None."""
         row = self._rows.get(turn_id)
         return row and row.line_key
 
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -82,6 +82,7 @@
         self._sweeper.start()
 
     def stop(self):
+        """Stops the periodic work and ends commands under way."""
         self._sweeper.stop()
         self.table.stop()
 
@@ -464,11 +465,13 @@
         }
 
     def start(self):
+        """Listens and joins the gossip."""
         self.node.start()
         self.store.start()
         self.web.listen()
 
     async def stop(self):
+        """Gives its place away if it has to leave, finishes calls under way and stops; other nodes are told first."""
         self._is_stopping = True
         if self._starting_over is not None:
             await self._starting_over
--- a/packages/store/oakramp/store/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -86,6 +86,7 @@
         self.states, self.records = {}, {}
 
     def note(self, node_id, state):
+        """Counts a store's answer."""
         self.states[node_id] = state
         for packed in state.records or []:
             self.records[read_header(packed).turn_id] = packed
