--- a/packages/common/oakramp/common/bounded_queue.py
+++ b/packages/common/oakramp/common/bounded_queue.py
@@ -9,6 +9,8 @@
 
 
 class BoundedQueue:
+    """A first-in, first-out queue between two stages that rejects what is over its limit."""
+
     # Invariants: never more than `limit` waiting; either items or takers wait, never both.
     def __init__(self, limit, name):
         self.limit, self.name = limit, name
@@ -19,6 +21,7 @@
         return len(self._items)
 
     def put(self, item):
+        """Queues an item, or hands it to a waiting taker. Raises OverloadedError if the queue is full."""
         while self._takers:
             taker = self._takers.popleft()
             if not taker.called:
@@ -29,6 +32,7 @@
         self._items.append(item)
 
     def take(self):
+        """Fires with the next item."""
         if self._items:
             return defer.succeed(self._items.popleft())
         taker = defer.Deferred()
@@ -53,12 +57,14 @@
         self.waiting = None  # what the command under way waits for
 
     def stop(self):
+        """Drops what waits and cancels the command under way."""
         self._is_stopped = True
         self._waiting.clear()
         if self._is_busy and self.waiting is not None:
             self.waiting.cancel()
 
     def do(self, command, *arguments):
+        """Runs a command after all those before it; fires with its result. Raises OverloadedError if too many wait."""
         if len(self._waiting) >= self._limit:
             raise OverloadedError(f"inbox {self._name} is full")
         answer = defer.Deferred()
@@ -75,6 +81,7 @@
         return True
 
     def let_go(self):
+        """Ends what `hold` began: the next command may run."""
         self._is_busy = False
         self._work()
 
--- a/packages/common/oakramp/common/http_client.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -93,6 +93,7 @@
         self.whole = False
 
     def dataReceived(self, data):
+        """Splits what arrives into lines; reading pauses while too many wait."""
         if self.ended:
             return
         *lines, self._rest = (self._rest + data).split(b"\n")
@@ -106,6 +107,7 @@
         self._wake()
 
     def connectionLost(self, reason=protocol.connectionDone):
+        """Ends the body; it is complete only if its last line was."""
         # A body cut off shows as another reason; a last line without its end does not count either way.
         self._end(bool(reason.check(ResponseDone)) and not self._rest)
 
@@ -161,6 +163,8 @@
 
 
 class HttpClient:
+    """Sends requests, each on a connection of its own."""
+
     def __init__(self, reactor, bind_host=None):
         self._reactor, self._bind_host = reactor, bind_host
         self._pool = HTTPConnectionPool(reactor, persistent=False)
--- a/packages/common/oakramp/common/http_server.py
+++ b/packages/common/oakramp/common/http_server.py
@@ -72,13 +72,16 @@
         self.gone.callback(None)
 
     def json(self):
+        """The body as a JSON object. Raises BadRequestError or TooLargeError."""
         return parse_json(self.request.content.read(BODY_LIMIT + 1), BODY_LIMIT)
 
     def query(self, name):
+        """The first value of a query parameter, or None."""
         values = self.request.args.get(name.encode())
         return values[0].decode(errors="replace") if values else None
 
     def reply(self, status, value, retry_after=None):
+        """Answers with JSON, or with bytes as they are; `retry_after` is in seconds."""
         if self.is_gone:
             return
         body = value if isinstance(value, bytes) else pack_json(value) + b"\n"
@@ -91,6 +94,7 @@
         self.request.finish()
 
     def reply_error(self, error):
+        """Answers with an error as callers see it."""
         self.reply(error.status, error.to_json(), error.retry_after)
 
 
@@ -119,9 +123,11 @@
         self._connections.noisy = False
 
     def route(self, method, path, handler):
+        """Enters a handler; a path segment in braces matches any text and is passed by its name."""
         self._routes.append((method.encode(), path.strip("/").split("/"), handler))
 
     def listen(self):
+        """Starts to accept connections."""
         host, port = split_address(self._address)
         self._port = self._reactor.listenTCP(port, self._connections, interface=host)
 
@@ -161,6 +167,7 @@
         raise NotFoundError("no such path")
 
     def render(self, request):
+        """Called by twisted.web for each request."""
         spawn(self._run(request), self._log)
         return server.NOT_DONE_YET
 
--- a/packages/common/oakramp/common/metrics.py
+++ b/packages/common/oakramp/common/metrics.py
@@ -4,18 +4,23 @@
 
 
 class Metrics:
+    """Counters and gauges by name and labels."""
+
     # Invariant: counters only rise; gauges are asked when shown.
     def __init__(self):
         self._counters = Counter()
         self._gauges = {}
 
     def count(self, name, by=1, **labels):
+        """Raises a counter."""
         self._counters[self._shown_name(name, labels)] += by
 
     def gauge(self, name, ask, **labels):
+        """Enters a gauge; `ask()` gives its value when it is shown."""
         self._gauges[self._shown_name(name, labels)] = ask
 
     def read(self, name, **labels):
+        """The value of a counter."""
         return self._counters[self._shown_name(name, labels)]
 
     @staticmethod
@@ -24,6 +29,7 @@
         return f"oak_{name}{{{pairs}}}" if pairs else f"oak_{name}"
 
     def to_text(self):
+        """All of them, a line each, sorted by name."""
         shown = [*self._counters.items(), *((name, ask()) for name, ask in self._gauges.items())]
         return "".join(f"{name} {value:g}\n" for name, value in sorted(shown))
 
--- a/packages/common/oakramp/common/reactor.py
+++ b/packages/common/oakramp/common/reactor.py
@@ -13,6 +13,7 @@
     """What is only readable is read here; all else goes Twisted's way."""
 
     def doPoll(self, timeout):
+        """One round of the reactor: waits at most `timeout` seconds for events, and handles them."""
         for descriptor, event in self._poller.poll(-1 if timeout is None else timeout, len(self._selectables)):
             selectable = self._selectables.get(descriptor)
             if selectable is None:
--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -25,6 +25,7 @@
 
 
 def split_address(text):
+    """(host, port) of a text IP:PORT."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -126,10 +127,12 @@
 
 
 def eviction_mode(env):
+    """One of EVICTION_MODES; off unless it is set."""
     return env.get("eviction") or "off"
 
 
 def check_settings(rules, pairs):
+    """The settings themselves. Raises SettingsError with a line for each fault."""
     try:
         return check_fields(rules, pairs)
     except BadRequestError as error:
@@ -137,6 +140,7 @@
 
 
 def read_settings(rules, file_path, flag_pairs):
+    """The settings of a JSON file under those of flags, checked. Raises SettingsError with a line for each fault."""
     file_pairs = {}
     if file_path:
         try:
--- a/packages/common/oakramp/common/tasks.py
+++ b/packages/common/oakramp/common/tasks.py
@@ -47,6 +47,7 @@
     waiting = None
 
     def cancel(self):
+        """Cancels what the coroutine waits for; it may still clean up before it ends."""
         if self.called or self.waiting is None:
             super().cancel()
             return
@@ -87,6 +88,7 @@
 
 
 def sleep(reactor, seconds):
+    """Fires after this many seconds of the reactor's time."""
     waiting = defer.Deferred(lambda _: call.active() and call.cancel())
     call = reactor.callLater(max(0.0, seconds), waiting.callback, None)
     return waiting
@@ -172,10 +174,12 @@
         self._task = None
 
     def start(self):
+        """Starts the rounds, the first one at once."""
         self._task = spawn(self._run(), self._log)
         return self
 
     def stop(self):
+        """Cancels the round under way; no other follows."""
         if self._task is not None:
             self._task.cancel()
 
--- a/packages/common/oakramp/common/validation.py
+++ b/packages/common/oakramp/common/validation.py
@@ -9,6 +9,7 @@
 
 
 def is_name(text):
+    """Whether this is 1 to NAME_LIMIT letters, digits, hyphens, underscores and dots."""
     return (
         isinstance(text, str)
         and 0 < len(text) <= NAME_LIMIT
@@ -20,6 +21,7 @@
 
 
 def whole(low, high):
+    """A rule: a whole number from `low` to `high`."""
     return And(
         int,
         lambda number: type(number) is int and low <= number <= high,
@@ -28,16 +30,19 @@
 
 
 def seconds(low, high):
+    """A rule: a number of seconds from `low` to `high`."""
     return And(
         lambda number: type(number) in (int, float) and low <= number <= high, error=f"must be {low} to {high} seconds"
     )
 
 
 def one_of(*texts):
+    """A rule: one of these texts."""
     return And(lambda text: isinstance(text, str) and text in texts, error=f"must be one of {', '.join(texts)}")
 
 
 def parse_json(data, limit, what="body"):
+    """The JSON object in `data`. Raises TooLargeError over `limit` bytes, BadRequestError if it is none."""
     if len(data) > limit:
         raise TooLargeError(f"{what} is over {limit} bytes")
     try:
@@ -94,4 +99,5 @@
 
 
 def pack_json(value):
+    """Compact JSON with sorted keys."""
     return _ENCODER.encode(value).encode()
--- a/packages/gossip/oakramp/gossip/daemon.py
+++ b/packages/gossip/oakramp/gossip/daemon.py
@@ -51,10 +51,12 @@
         return found.st_mtime_ns, found.st_size, found.st_ino
 
     async def poll(self):
+        """Reads the settings again if their file has changed."""
         if self._stamp() != self._seen:
             self.read_again()
 
     def read_again(self):
+        """Reads the settings again and tells the node what changed."""
         self._seen = self._stamp()
         log = self._node.node.log
         try:
--- a/packages/gossip/oakramp/gossip/damaged_node.py
+++ b/packages/gossip/oakramp/gossip/damaged_node.py
@@ -22,6 +22,7 @@
 
     @property
     def node(self):
+        """The node itself, as the daemon expects of a composed node."""
         return self
 
     def settings_changed(self, _env):
@@ -31,8 +32,10 @@
         return 200, {"condition": "damaged", "machine": self._env["machine"], "reason": self._reason}
 
     def start(self):
+        """Listens for GET /condition only."""
         self._web.listen()
         self.log.info("disk_damaged", folder=self._env["folder"], reason=self._reason)
 
     async def stop(self):
+        """Stops listening."""
         await self._web.stop()
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -64,6 +64,7 @@
 
     @property
     def me(self):
+        """This node's own row among the members."""
         return self._me
 
     @property
@@ -129,9 +130,11 @@
         return heard.news_from(self._state_table)
 
     def start(self):
+        """Starts the rounds of requests."""
         self._repeater = Repeater(self._reactor, PULL_PAUSE, self._round, self._log).start()
 
     def stop(self):
+        """Ends the rounds of requests."""
         if self._repeater:
             self._repeater.stop()
 
@@ -227,6 +230,7 @@
         )
 
     def take_seeds(self, seeds):
+        """Asks these addresses from now on where no member is known."""
         self._seeds = list(seeds)
 
     async def pull_now(self):
--- a/packages/gossip/oakramp/gossip/node.py
+++ b/packages/gossip/oakramp/gossip/node.py
@@ -35,6 +35,8 @@
 
 
 class Node:
+    """The parts that every daemon has, composed."""
+
     def __init__(self, reactor, kind, env, random, sink, disk=None, wall=time.time, founding=None):
         self.reactor, self.kind, self.env, self.random, self.disk = reactor, kind, env, random, disk
         self.identity = Identity(env["machine"], random, disk, env.get("clusterId"), founding)
@@ -88,6 +90,7 @@
         }
 
     def start(self):
+        """Listens to other nodes and joins the gossip."""
         self.net.listen()
         self.wall_clock.repeater.start()
         self.gossip_client.start()
@@ -101,6 +104,7 @@
         )
 
     async def stop(self):
+        """Leaves the gossip, closes connections and the disk."""
         self.gossip_client.stop()
         self.wall_clock.repeater.stop()
         await self.net.stop()
--- a/packages/gossip/oakramp/gossip/state_table.py
+++ b/packages/gossip/oakramp/gossip/state_table.py
@@ -63,6 +63,7 @@
         return self.snapshots[source]
 
     def retract(self, source):
+        """This node publishes the source no more; what others have of it is taken again."""
         self._taken_up.discard(source)
         if self._own_sources.pop(source, None) is not None:
             self.losses += 1  # what others sent of it meanwhile was not taken in
@@ -112,9 +113,11 @@
         return snapshot.confirmed_at
 
     def age(self, source):
+        """Seconds since the source last confirmed what is known of it."""
         return self._reactor.seconds() - self.confirmed_at(source)
 
     def values(self, source):
+        """The items of a source by name; none if the source is unknown."""
         snapshot = self.snapshots.get(source)
         return (
             {}
@@ -133,6 +136,7 @@
                     watcher(source)
 
     def drop(self, source):
+        """Forgets a source."""
         if self.snapshots.pop(source, None) is not None:
             self.losses += 1
             self.revision += 1
@@ -140,16 +144,19 @@
     # --- pulling ---
 
     def seen(self):
+        """The version of each source here, as a full vector for a peer."""
         return [
             idl.SourceVersion(source=source, version=snapshot.version) for source, snapshot in self.snapshots.items()
         ]
 
     def seen_since(self, moves):
+        """The same, only of the sources that moved after this count of moves."""
         return [
             idl.SourceVersion(source=source, version=snapshot.version) for source, snapshot in self.moved_since(moves)
         ]
 
     def moved_since(self, moves):
+        """(source, state) of the sources that moved after this count of moves."""
         return [] if moves == self.moves else [pair for pair in self.snapshots.items() if pair[1].moved_at > moves]
 
     def snapshots_at(self, pairs):
@@ -205,6 +212,7 @@
         return AGE_LIMIT if age > AGE_LIMIT / 1000 else int(age * 1000) + 1
 
     def snapshot_for(self, source, version):
+        """What a peer lacks that has this version of the source: a delta, or all items where none can be given."""
         snapshot = self.snapshots[source]
         whole = version < snapshot.base or version < 0
         items = [
@@ -217,6 +225,7 @@
         )
 
     def full_snapshot(self, source):
+        """All items of a source, as a message."""
         return self.snapshot_for(source, -1)
 
     def merge(self, news, seen, asked_at):
@@ -233,6 +242,7 @@
                     snapshot.confirmed_at = asked_at - age / 1000
 
     def merge_snapshots(self, snapshots, asked_at):
+        """Takes in what a peer sent; `asked_at` is when it was asked (monotonic seconds); ages count back from it."""
         for received in snapshots:
             if received.source in self._own_sources:
                 continue
--- a/packages/gossip/oakramp/gossip/version_exchange.py
+++ b/packages/gossip/oakramp/gossip/version_exchange.py
@@ -25,6 +25,7 @@
         self._snapshots, self._revision = [], None
 
     def enter(self, moved):
+        """Takes in what has moved; a new source gets the next position."""
         if moved:
             self._revision = None
         for one in moved:
@@ -51,6 +52,7 @@
         self.own_version = None
 
     def is_usable(self):
+        """Whether the peer's copy of the vector still holds: no source was dropped here since."""
         return self._losses == self._state_table.losses
 
     def take(self):
@@ -78,6 +80,7 @@
         self._snapshots, self._revision = [], None
 
     def take(self, moved):
+        """Takes in what the peer says has moved."""
         if moved:
             self._revision = None
         self.versions.update((one.source, one.version) for one in moved)
@@ -98,6 +101,7 @@
 
 
 def pack_ages(ages):
+    """Ages in ms as two bytes each, the lower first; AGE_UNKNOWN for none."""
     return pack(f"<{len(ages)}H", *[AGE_UNKNOWN if age is None or age >= AGE_UNKNOWN else age for age in ages])
 
 
--- a/packages/membership/oakramp/membership/identity.py
+++ b/packages/membership/oakramp/membership/identity.py
@@ -11,6 +11,7 @@
 
 
 def mint_node_id(machine, random):
+    """A new node id: the machine's name and 128 random bits."""
     return f"{machine}.{random.getrandbits(128):032x}"
 
 
--- a/packages/membership/oakramp/membership/members.py
+++ b/packages/membership/oakramp/membership/members.py
@@ -111,6 +111,7 @@
         ]
 
     def find(self, node_id):
+        """The newest row of a node, or None."""
         return self._rows.get(self._latest.get(node_id))
 
     def gossip_peers(self, own_kind):
--- a/packages/membership/oakramp/membership/rendezvous_hashing.py
+++ b/packages/membership/oakramp/membership/rendezvous_hashing.py
@@ -4,6 +4,7 @@
 
 
 def score(candidate, key):
+    """The weight of a candidate for a key, as bytes to compare."""
     return blake2b(f"{candidate}\0{key}".encode(), digest_size=8).digest()
 
 
@@ -13,8 +14,10 @@
 
 
 def named(candidates, key, count):
+    """The first `count` candidates for a key."""
     return ranked(candidates, key)[:count]
 
 
 def shard_of(key, shard_count):
+    """The shard of a key, from 0 to `shard_count` - 1."""
     return int.from_bytes(blake2b(key.encode(), digest_size=4).digest(), "big") % shard_count
--- a/packages/rpc/oakramp/rpc/codec.py
+++ b/packages/rpc/oakramp/rpc/codec.py
@@ -15,10 +15,12 @@
 
 
 def pack(struct):
+    """The bytes of a Thrift struct."""
     return serialize(struct, _FACTORY)
 
 
 def unpack(struct_class, data):
+    """The struct in these bytes. Raises BadRequestError if they are none."""
     try:
         return deserialize(struct_class(), data, _FACTORY)
     except Exception as error:  # the codec raises whatever the bytes provoke
@@ -30,10 +32,12 @@
 
 
 def arguments_class(method):
+    """The struct of a method's arguments, or None if there is no such method."""
     return _ARGUMENTS.get(method)
 
 
 def result_class(method):
+    """The struct of a method's result."""
     return _RESULTS[method]
 
 
@@ -46,6 +50,7 @@
 
 
 def pack_frame(frame):
+    """The bytes of a frame; the usual kinds without the general codec."""
     if frame.error is not None or frame.body is None:
         return pack(frame)
     if frame.method is None:
@@ -63,6 +68,7 @@
 
 
 def unpack_frame(data):
+    """The frame in these bytes. Raises BadRequestError if they are none."""
     return unpack_usual(data) or unpack(idl.Frame, data)
 
 
--- a/packages/rpc/oakramp/rpc/endpoint.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -61,6 +61,7 @@
         self.ready = defer.Deferred()
 
     def connectionMade(self):
+        """Sends the hello, and waits HELLO_TIME seconds for the other side's."""
         self.transport.setTcpNoDelay(True)
         self._hello_call = self._net.reactor.callLater(HELLO_TIME, self._drop, "noHello")
         self._net.connections[self] = None
@@ -84,6 +85,7 @@
         transport.doWrite()
 
     def dataReceived(self, data):
+        """Splits what arrives into frames."""
         if self._unread:
             data = self._unread + data
         start, end = 0, len(data)
@@ -101,6 +103,7 @@
         self._unread = data[start:]
 
     def connectionLost(self, reason=protocol.connectionDone):
+        """Ends the calls under way with OutcomeUnknownError."""
         self.connected = 0  # the base class leaves it set
         self._net.connections.pop(self, None)
         if self._hello_call is not None and self._hello_call.active():
@@ -124,6 +127,7 @@
         self.transport.abortConnection()
 
     def stringReceived(self, data):
+        """Takes in one frame: the hello, an answer, or a call."""
         try:
             if self.peer is None:
                 self._meet(unpack(idl.Hello, data))
@@ -153,6 +157,7 @@
     # --- calling ---
 
     def call(self, method, time_left, arguments):
+        """Fires with the result of a call. Raises UnreachableError or OverloadedError if it was not sent."""
         if not self.connected:
             return defer.fail(UnreachableError("connection is closed"))
         if len(self._in_flight) >= PEER_IN_FLIGHT:
@@ -283,6 +288,7 @@
         self._port = None
 
     def hello(self):
+        """The hello of this node."""
         return idl.Hello(wire_version=WIRE_VERSION, cluster_id=self.cluster_id, node_id=self.node_id, kind=self.kind)
 
     def handle(self, method, handler):
@@ -290,6 +296,7 @@
         self.handlers[method] = handler
 
     def listen(self):
+        """Starts to accept connections."""
         host, port = split_address(self.address)
         self._port = self.reactor.listenTCP(port, _Acceptor(self), interface=host)
 
@@ -304,6 +311,7 @@
             connection.transport.abortConnection()
 
     async def stop(self):
+        """Closes the port and all connections."""
         if self._port is not None:
             await defer.maybeDeferred(self._port.stopListening)
         self._hang_up()
--- a/packages/version_vectors/oakramp/version_vectors/causal_context.py
+++ b/packages/version_vectors/oakramp/version_vectors/causal_context.py
@@ -7,10 +7,12 @@
 
 
 def clock_to_row(clock):
+    """A version vector as a JSON row, sorted by node id."""
     return [[node_id, m] if n is None else [node_id, m, n] for node_id, (m, n) in sorted(clock.entries.items())]
 
 
 def clock_from_row(row):
+    """The version vector of a JSON row. Raises ValueError if it is none."""
     if not isinstance(row, list) or any(
         not isinstance(part, list)
         or len(part) not in (2, 3)
@@ -23,11 +25,13 @@
 
 
 def to_context(clock_set):
+    """A set of version vectors as opaque text (base64 of JSON)."""
     rows = sorted(clock_to_row(clock) for clock in clock_set)
     return base64.urlsafe_b64encode(json.dumps(rows, separators=(",", ":")).encode()).decode()
 
 
 def from_context(text):
+    """The set of version vectors in a context. Raises ValueError if it is none."""
     if not text:
         return frozenset()
     rows = json.loads(base64.urlsafe_b64decode(text))
--- a/packages/version_vectors/oakramp/version_vectors/version_vector.py
+++ b/packages/version_vectors/oakramp/version_vectors/version_vector.py
@@ -65,6 +65,7 @@
 
 
 def less(left, right):
+    """Strict order of the paper: at most, and not equal."""
     return leq(left, right) and not leq(right, left)
 
 
@@ -77,6 +78,7 @@
 
 
 def ids(clock_set):
+    """The node ids that occur in a set of version vectors."""
     return {node_id for clock in clock_set for node_id in clock.entries}
 
 
