--- a/packages/common/oakramp/common/validation.py
+++ b/packages/common/oakramp/common/validation.py
@@ -88,7 +88,7 @@
 
 
 def check_fields(rules, pairs):
-    """The pairs, with None for optional fields left out; or a BadRequest naming every fault."""
+    """The pairs, with None for optional fields left out; or a BadRequestError naming every fault."""
     faults = faults_of(rules, pairs)
     if faults:
         raise BadRequestError("; ".join(faults), detail=faults)
--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -13,8 +13,8 @@
 from oakramp.control.store_membership import STORES_KEY, stores_shown
 from oakramp.control.voting_configuration import VOTING_CONFIG_KEY, VotingConfiguration
 
-READ_TIME = 2 * CALL_TIME  # s; an owner may change once while an operator reads
-CHANGE_TIME = 4 * CALL_TIME  # s; a change outlasts one take-over before it is answered with maybe
+READ_TIME = 2 * CALL_TIME  # s; a leader may change once while an operator reads
+CHANGE_TIME = 4 * CALL_TIME  # s; a change outlasts one failover before it is answered with maybe
 
 
 class AdminApi:
@@ -71,7 +71,8 @@
                 "this node belongs to a cluster already", detail={"clusterId": self._node.net.cluster_id}
             )
         if voter.voting_config is None:
-            # The roster first: a node with a roster and no cluster id takes part in nothing yet.
+            # The voting configuration first: a node with a voting configuration and no cluster id takes part in nothing
+            # yet.
             await voter.set_voting_config(voting_config)
             self._node.identity.join_cluster(body["clusterId"])
             self._node.net.join_cluster(body["clusterId"])
--- a/packages/control/oakramp/control/bootstrap.py
+++ b/packages/control/oakramp/control/bootstrap.py
@@ -1,10 +1,11 @@
 """How the core forms by itself: once, from the seeds of a first start, with no message.
 
 On a first start the seeds are the same everywhere. So each control node that stands among them can write the same
-first roster, of ids and a cluster id made from the seeds' addresses alone, and none has to wait for another.
+first voting configuration, of ids and a cluster id made from the seeds' addresses alone, and none has to wait for
+another.
 
     identity   founder's id, and what it is founding     synced before the id is used for anything
-    ring       the first roster                          the voter knows whose disks count
+    ring       the first voting configuration                          the voter knows whose disks count
     identity   the cluster id                            from here on it takes part
 
 A crash after any of these resumes from what the identity says is being founded, whatever the env says by then.
--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -9,8 +9,8 @@
 admissions, so one that was taken back and comes in late is told from one that is new, whatever came in between.
 
 A program is ended by its caller, its operator, or the plan's `endAfterIdle`. From then on it is `ending`: it admits
-nothing, what is open may still settle, and its marks go page by page. Then it is one of its slot's ended ones, of which
-8 bytes of hash stay for ever: a budget that is spent must never start anew. Two names with one hash cost one of
+nothing, what is open may still settle, and its marks go page by page. Then it is one of its shard's ended ones, of
+which 8 bytes of hash stay for ever: a budget that is spent must never start anew. Two names with one hash cost one of
 them a no; never a second budget.
 """
 
@@ -39,7 +39,7 @@
 
 
 def _ended_key(key):
-    """(entry, hash): where a program of this slot is remembered once it has ended."""
+    """(entry, hash): where a program of this shard is remembered once it has ended."""
     digest = blake2b(key.encode(), digest_size=8).hexdigest()
     return f"ended#{digest[:2]}", digest
 
--- a/packages/control/oakramp/control/idempotency.py
+++ b/packages/control/oakramp/control/idempotency.py
@@ -2,7 +2,7 @@
 
 Invariants of claim/P/K: one claim holds the key at a time; `done` keeps its answer, if it is small enough; `back` tells
 admissions that were taken back from later ones (oakramp/control/reservation_numbers.py); an entry is removed only when
-this owner has counted the time below since its last change or since it took the slot over, whichever is later.
+this leader has counted the time below since its last change or since it took the shard over, whichever is later.
 
 A claim whose gate has vanished stays claimed: its request may have run, and nobody will ever know. So the key is in
 progress until the entry is let go, and never runs again within the window.
--- a/packages/control/oakramp/control/leader_changes.py
+++ b/packages/control/oakramp/control/leader_changes.py
@@ -1,7 +1,7 @@
-"""Leaving an owner that does not answer as soon as another one is known.
+"""Leaving a leader that does not answer as soon as another one is known.
 
 A process that froze or lost its power answers nothing and refuses nothing. Who waits for it need not wait out the whole
-time of a call: news of the slot's next owner say that this one's lease is over. What was asked may have come through,
+time of a call: news of the shard's next leader say that this one's lease is over. What was asked may have come through,
 as with any call that is not answered in time.
 """
 
@@ -17,18 +17,18 @@
 
 
 class LeaderChangeWatch:
-    """Invariant: `_waiting` holds, for each slot, the outcome of each call under way to the owner that news named when
-    it was asked, and that owner's address."""
+    """Invariant: `_waiting` holds, for each shard, the outcome of each call under way to the leader that news named
+    when it was asked, and that leader's address."""
 
     def __init__(self, node, address_of):
-        """`address_of(shard)` is where the slot's owner is by the newest news, or None."""
+        """`address_of(shard)` is where the shard's leader is by the newest news, or None."""
         self._reactor, self._address_of = node.reactor, address_of
         self._waiting = defaultdict(dict)
         node.state_table.watch(SHARD_SOURCE, self._on_news)
 
     def answer_of(self, shard, address, call):
-        """The call's answer; NoAnswer if it is to the owner that news name, they name another one meanwhile, and a
-        moment later there is still none."""
+        """The call's answer; OutcomeUnknownError if it is to the leader that news name, they name another one
+        meanwhile, and a moment later there is still none."""
         answer = begin(call)
         if address != self._address_of(shard):
             return answer  # another node has named it, which may know more
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -1,8 +1,8 @@
-"""Finding slots whose lease has lapsed by a majority's word, before their owner counts as silent.
+"""Finding shards whose lease has lapsed by a majority's word, before their leader counts as silent.
 
-Each voter knows for how long it has confirmed no lease of a slot. A member whose own voter has been quiet for
+Each voter knows for how long it has confirmed no lease of a shard. A member whose own voter has been quiet for
 LEASE_LAPSED asks the others, and changes nothing by that. Only if a majority has been quiet for so long does it start a
-take-over. The take-over is the ordinary one, with its wait for the former lease: what is found here is a reason to
+failover. The failover is the ordinary one, with its wait for the previous lease: what is found here is a reason to
 begin, never to skip.
 """
 
@@ -11,7 +11,7 @@
 
 
 class LeaseExpiryWatch:
-    """Invariant: `_ask_at` holds, for each slot that was asked for, the time before which it is not asked for again."""
+    """Invariant: `_ask_at` holds, for each shard that was asked for, when it may be asked for again."""
 
     def __init__(self, node, voter, leaders):
         self._node, self._voter, self._owners = node, voter, leaders
@@ -44,7 +44,7 @@
             self._ask_at[shard] = now + max(EXPIRY_POLL, LEASE_EXPIRED - quiet[shard])
 
     def _quiet_shards(self):
-        """Slots of others that this node's own voter has not confirmed for long."""
+        """Shards of others that this node's own voter has not confirmed for long."""
         now, own_id = self._node.reactor.seconds(), self._node.node_id
         return [
             shard
@@ -61,7 +61,7 @@
         return voting_config.is_quorum({node_id for node_id in voting_config.everyone if self._answers(node_id)})
 
     async def _ask_majority(self, shards):
-        """Slot -> seconds for which each of a majority has been quiet; 0 if no majority answered."""
+        """Shard -> seconds for which each of a majority has been quiet; 0 if no majority answered."""
         reached, answers = await quorum_of(
             self._owners.ask_voters(
                 "unconfirmed", self._voter.voting_config.everyone, EXPIRY_QUERY_TIME, shards=shards
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -5,16 +5,16 @@
     200  on a majority of disks, also if this exact change was taken before
     412  built on a version that is past, so it is not taken and never will be
     4xx  not taken and never will be: unreadable, invalid, an unknown machine, too few left
-    503  no owner could be asked, what became of it is not known, or it may still be taken: to be repeated as it is, at
+    503  no leader could be asked, what became of it is not known, or it may still be taken: to be repeated as it is, at
     any
-         node; within half a second, if no majority of the roster answers this node
+         node; within half a second, if no majority of the voting configuration answers this node
 
 An operator that moves on to another node leaves its call here under way. That does no harm: a change is taken once, by
 its fingerprint, and one built on a version that is past stays lost.
 
 What the dialect has to say: `operator_routes`, {replace, change, read, retire, retire_state: (method, path)}, the last
 two with {machine} in their paths; `operator_status(error)`, of one that is final; `base_version_of(headers)`;
-`routing_of(document, parsed)`, the table in the product's terms, or Invalid with every fault; `version_of(document)`;
+`routing_of(document, parsed)`, the table in the product's leases, or Invalid with every fault; `version_of(document)`;
 `patch_of(body)`, {version, upsert, remove}; `with_version(document, version)`; `retire_shown(state)`, a JSON-able
 answer.
 """
@@ -70,7 +70,7 @@
 
 
 def read_document(data):
-    """The JSON object in a body, or BadRequest: what could be read in two ways is not read at all."""
+    """The JSON object in a body, or BadRequestError: what could be read in two ways is not read at all."""
     try:
         document = json.loads(data.decode(), object_pairs_hook=_object, parse_constant=_no_number, parse_float=_float)
     except (ValueError, RecursionError) as error:
@@ -148,7 +148,7 @@
     # --- the configuration ---
 
     async def _newest(self):
-        """(version, document) as the owner has it inside its term; (0, None) before the first one. The document comes
+        """(version, document) as the leader has it inside its lease; (0, None) before the first one. The document comes
         from this node's own news if they are as new as that."""
         snapshot = self._node.state_table.snapshots.get(ROUTING_KEY)
         if snapshot is not None and snapshot.version > self._known[0]:
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -267,7 +267,7 @@
 
 def news_of(state_table, partner):
     """The newest that this node has heard of a partner's blueprint: its age, and all of it but the bindings, or
-    None. That a partner has none is known by the owner of the slot it would be in."""
+    None. That a partner has none is known by the leader of the shard it would be in."""
     source = f"blueprint/{partner}"
     snapshot = state_table.snapshots.get(source)
     if snapshot is None:
--- a/packages/control/oakramp/control/prepare_phase.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -1,4 +1,5 @@
-"""The first half of a take-over: a majority's promises, the newest image among them, and the end of the former lease."""
+"""The first half of a failover: a majority's promises, the newest snapshot among them, and the end of the previous
+lease."""
 
 from sortedcontainers import SortedDict
 
@@ -9,12 +10,12 @@
 
 
 def is_moving(error):
-    """Whether a voter refused only because it stands in another roster than the asker."""
+    """Whether a voter refused only because it stands in another voting configuration than the asker."""
     return isinstance(error, StaleEpochError) and bool(error.detail)
 
 
 class PreparePhase:
-    """One epoch of a slot, sought by this node. Invariant: once `prepare` has ended, `_promises` are those of a
+    """One epoch of a shard, sought by this node. Invariant: once `prepare` has ended, `_promises` are those of a
     majority, and `_prepared_at` is no earlier than any of them."""
 
     def __init__(self, leaders, node, voter, shard, epoch):
@@ -24,7 +25,7 @@
         self._promises, self._prepared_at = {}, None
 
     def _possible_holders(self):
-        """Who may hold a lease: all of the roster, but those whose process has surely ended."""
+        """Who may hold a lease: all of the voting configuration, but those whose process has surely ended."""
         return [
             node_id
             for node_id, peer in self._voter.voting_config.everyone.items()
@@ -72,14 +73,14 @@
         return promise
 
     def newest(self):
-        """(voter, (epoch, sequence)) of the newest image promised; this node's own if it is as new."""
+        """(voter, (epoch, sequence)) of the newest snapshot promised; this node's own if it is as new."""
         return max(
             ((node_id, (promise.snapshot_epoch, promise.sequence)) for node_id, promise in self._promises.items()),
             key=lambda row: (row[1], row[0] == self._node.node_id),
         )
 
     async def fetch_snapshot(self, node_id):
-        """The image that this voter promised to keep as it is: given with the promise, or fetched in parts."""
+        """The snapshot that this voter promised to keep as it is: given with the promise, or fetched in parts."""
         given = self._promises[node_id].entries
         entries, more = SortedDict((entry.key, entry.value) for entry in given or []), given is None
         while more:
@@ -102,7 +103,7 @@
         return entries
 
     async def previous_lease_ended(self, released_epoch):
-        """Waits until no lease of an earlier epoch can be held. There is none if the owner of the last one said so
+        """Waits until no lease of an earlier epoch can be held. There is none if the leader of the last one said so
         itself."""
         previous_epoch = max(promise.promised_epoch for promise in self._promises.values())
         if not previous_epoch or previous_epoch == released_epoch:
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -1,11 +1,12 @@
-"""The way of an owner's steps to the voters.
+"""The way of a leader's steps to the voters.
 
-An owner of several slots writes to each of them by itself, but to the same five disks. What is on its way to one voter
-at the same time goes in one call, is committed there at once and is answered for each slot by itself.
+A leader of several shards writes to each of them by itself, but to the same five disks. What is on its way to one
+voter at the same time goes in one call, is committed there at once and is answered for each shard by itself.
 
-A voter that is behind is updated beside the steps (`VoterUpdates`), by one transfer at a time for each slot: what
-changed since the state that it is known to have, as one merged step, or else the whole image. What changes during the
-transfer of an image is gathered and follows it as a merged step, so a slow transfer is never begun anew for a change.
+A voter that is behind is updated beside the steps (`VoterUpdates`), by one transfer at a time for each shard: what
+changed since the state that it is known to have, as one merged step, or else the whole snapshot. What changes during
+the transfer of a snapshot is gathered and follows it as a merged step, so a slow transfer is never begun anew for a
+change.
 """
 
 from __future__ import annotations
@@ -65,7 +66,7 @@
         self._timer = None
 
     def put(self, target, step, ended):
-        """`target` is (address, roster version); `ended(taken, error)` is called once."""
+        """`target` is (address, voting configuration version); `ended(taken, error)` is called once."""
         self._waiting.append((target, step, ended))
         if self._timer is None:
             self._timer = self._reactor.callLater(STEP_PAUSE if self._calls else 0, self._send)
@@ -111,8 +112,8 @@
 
 
 class Proposal:
-    """One step, offered to the voters of one roster. `outcome` fires with (whether a majority has it, errors by voter)
-    once that is certain."""
+    """One step, offered to the voters of one voting configuration. `outcome` fires with (whether a majority has it,
+    errors by voter) once that is certain."""
 
     def __init__(self, voting_config, ends_at):
         self._voting_config, self.ends_at = voting_config, ends_at
@@ -150,7 +151,7 @@
 
 @dataclass
 class HigherPromise:
-    """A voter's promise of an epoch above the owner's own, and since when it is known."""
+    """A voter's promise of an epoch above the leader's own, and since when it is known."""
 
     epoch: int
     since: float
@@ -158,10 +159,10 @@
 
 @dataclass
 class VoterProgress:
-    """What the owner of a slot knows of one voter. Invariants:
-    - `base` is the newest (epoch, sequence) that the voter has confirmed, or the image that the take-over began with,
+    """What the leader of a shard knows of one voter. Invariants:
+    - `base` is the newest (epoch, sequence) that the voter has confirmed, or the snapshot that the failover began with,
       or
-      NO_IMAGE while an image is on its way and nothing of it or after it is confirmed;
+      NO_IMAGE while a snapshot is on its way and nothing of it or after it is confirmed;
     - `missing`, unless it is None, holds every key that has changed since `base`, with its newest value. It may hold
       further keys: their newest values do no harm, wherever between `base` and the newest state the voter is;
     - `unanswered` counts the steps offered since the voter last confirmed one;
@@ -178,7 +179,7 @@
     waiting: list = field(default_factory=list)
 
     def add(self, changes, most):
-        """Further changes; past `most` bytes a whole image is as cheap."""
+        """Further changes; past `most` bytes a whole snapshot is as cheap."""
         if self.missing is None:
             return
         for key, value in changes.items():
@@ -190,7 +191,7 @@
             self.forget_missing()
 
     def forget_missing(self):
-        """From here on only a whole image will do."""
+        """From here on only a whole snapshot will do."""
         self.missing, self.missing_size = None, 0
 
     def gather_anew(self):
@@ -198,8 +199,8 @@
         self.missing, self.missing_size = {}, 0
 
     def begin_snapshot(self, sequence):
-        """What changes from now on follows the image of this sequence, which is about to be sent. What is confirmed of
-        before it is no base any more."""
+        """What changes from now on follows the snapshot of this sequence, which is about to be sent. What is confirmed
+        of before it is no base any more."""
         self.base, self.floor = NO_SNAPSHOT, sequence
         self.gather_anew()
 
@@ -221,8 +222,8 @@
 
 
 class ShardProgress:
-    """What the owner of one slot knows of its voters. Invariants: `newest` is the sequence that was offered last, and
-    `pending` its changes, which are not among the owner's entries until a majority has them."""
+    """What the leader of one shard knows of its voters. Invariants: `newest` is the sequence that was offered last, and
+    `pending` its changes, which are not among the leader's entries until a majority has them."""
 
     def __init__(self, epoch):
         self._epoch = epoch
@@ -234,9 +235,9 @@
         return self._voters.setdefault(voter_id, VoterProgress(NO_SNAPSHOT))
 
     def offer(self, sequence, changes, start, voter_ids, snapshot_size):
-        """A step that is about to be given to these voters; the first one follows the image `start`."""
+        """A step that is about to be given to these voters; the first one follows the snapshot `start`."""
         if sequence == self.newest:
-            return  # the same step, under the next roster
+            return  # the same step, under the next voting configuration
         if not self.newest:
             self._voters = {voter_id: VoterProgress(start, {}) for voter_id in voter_ids}
         most = min(max(SNAPSHOT_PART, snapshot_size), UPDATE_LIMIT)
@@ -285,15 +286,15 @@
     look those that have lacked something since the look before, so that a system in which nothing changes heals as
     well.
 
-    Invariants: at most one update for each slot and voter is under way, and at most one image to each voter."""
+    Invariants: at most one update for each shard and voter is under way, and at most one snapshot to each voter."""
 
     def __init__(self, leaders, node, on_outranked):
-        """`on_outranked(shard, epoch)` is told of a voter that has promised a later epoch than this owner's."""
+        """`on_outranked(shard, epoch)` is told of a voter that has promised a later epoch than this leader's."""
         self._owners, self._net, self._log = leaders, node.net, node.log
         self._gossip_client, self._reactor, self._seconds = node.gossip_client, node.reactor, node.reactor.seconds
         self._on_outranked = on_outranked
         self._snapshot_locks = {}
-        self.behind = 0  # slots and voters; that lacked something at the last look
+        self.behind = 0  # shards and voters; that lacked something at the last look
 
     async def give(self, voter, change, response):
         """Returns once the voter has this change; `response` is its first answer to it, or None if it gave none.
@@ -367,7 +368,7 @@
         self._note(voter, owner, sequence, taken)
 
     async def _send_snapshot(self, voter, voting_config_version, owner, progress):
-        """One long image to a voter at a time: many at once would each take longer than a call may."""
+        """One long snapshot to a voter at a time: many at once would each take longer than a call may."""
         if owner.size <= SNAPSHOT_PART:
             await self._transfer_snapshot(voter, voting_config_version, owner, progress)
             return
@@ -395,7 +396,8 @@
         self._log.info("snapshot_sent", shard=owner.shard, voter=voter.node_id, sequence=sequence, entries=len(entries))
 
     async def _give_snapshot(self, voter, voting_config_version, owner, sequence, entries):
-        """In the order of the keys: so each try at one image has the same parts, and none is mixed up with a late one."""
+        """In the order of the keys: so each try at one snapshot has the same parts, and none is mixed up with a late
+        one."""
         *parts, last = in_parts(sorted(entries.items()), SNAPSHOT_PART)
         for number, part in enumerate(parts):
             taken = await self._give("stage", voter, voting_config_version, owner, sequence, part, part=number)
--- a/packages/control/oakramp/control/routing.py
+++ b/packages/control/oakramp/control/routing.py
@@ -14,8 +14,8 @@
 
 An order may be repeated without limit in time, so nothing here is forgotten by time, and a refusal never rests on what
 was forgotten: a change is refused only if it is built on a past version that is not older than the oldest remembered
-change. Any other unknown change gets no clear answer (CannotTell): an older one may have been taken, and one that is
-built on a version which is not there yet may still be taken, by a copy that is under way.
+change. Any other unknown change gets no clear answer (QuorumUnavailableError): an older one may have been taken, and
+one that is built on a version which is not there yet may still be taken, by a copy that is under way.
 """
 
 from functools import lru_cache
@@ -94,7 +94,7 @@
 
     Refused is what cannot be read as named items, or says two things of one name. A list that is not there yet begins
     with what is added to it, and the removal of what is not there has nothing to do: neither is among the faults of a
-    configuration, and the result is checked as a whole by whoever knows its terms."""
+    configuration, and the result is checked as a whole by whoever knows its leases."""
     faults = [
         fault
         for part, changes in (("upsert", upsert), ("remove", remove))
@@ -140,11 +140,11 @@
     ]
 
 
-# --- the table in the product's terms ----------------------------------------------
+# --- the table in the product's leases ----------------------------------------------
 
 
 def table_faults(table):
-    """What makes a routing table invalid, whatever terms it was written in."""
+    """What makes a routing table invalid, whatever leases it was written in."""
     seen, faults = {}, []
     for route in table["routes"]:
         name, place = route["name"], (host_of(route["host"]), route["path_prefix"])
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -1,4 +1,4 @@
-"""Asking the owner of a key, from any node. Every command may be asked again: it carries its own id."""
+"""Asking the leader of a key, from any node. Every command may be asked again: it carries its own id."""
 
 import json
 
@@ -27,12 +27,12 @@
 from oakramp.control.quorum_contact import answers_now
 from oakramp.control.shards import shard_of_key
 
-# Codes of errors that say nothing of the key: no answer came, or it came from who is no owner.
+# Codes of errors that say nothing of the key: no answer came, or it came from who is no leader.
 NO_OWNERS_WORD = frozenset(["noAnswer", "unreachable", "overloaded", "timeSpent", "noMethod", "fenced"])
 
 
 class ShardClient:
-    """`is_silent(address)` says whether this node knows already that an owner at this address does not answer it."""
+    """`is_silent(address)` says whether this node knows already that a leader at this address does not answer it."""
 
     def __init__(self, node, is_silent=lambda _address: False):
         self._node, self._is_silent = node, is_silent
@@ -47,7 +47,7 @@
         return self._node.random.choice(addresses) if addresses else None
 
     def _successor(self, shard, address, tried):
-        """Who owns the slot by the newest news, if that is not who was just asked nor who was tried before; else None."""
+        """Who owns the shard by the newest news, if that is not who was just asked nor who was tried before; else None."""
         believed = self._believed(shard)
         return None if believed in tried | {address} else believed
 
@@ -60,17 +60,17 @@
                 self._node.log.warning("command_outcome_late", key=key, command=command, reason=error.reason)
 
     async def call(self, key, command, arguments, time_left):
-        """The owner's answer. Raises what the owner said, if it was asked once; NoAnswer if an ask left and its
-        outcome is not known; CannotTell if no owner could be asked at all."""
+        """The leader's answer. Raises what the leader said, if it was asked once; OutcomeUnknownError if an ask left
+        and its outcome is not known; QuorumUnavailableError if no leader could be asked at all."""
         reactor, shard = self._node.reactor, shard_of_key(key)
         ends_at = reactor.seconds() + time_left
         text, unsure, hint, tried, silent_until = pack_json(arguments).decode(), None, None, set(), {}
         believed = None
         while reactor.seconds() < ends_at:
             if believed != (believed := self._believed(shard)):
-                tried.discard(believed)  # it was no owner when it was tried
+                tried.discard(believed)  # it was no leader when it was tried
             address = hint or believed
-            # One that did not answer may have ended: for a while whoever takes its slots over is asked instead.
+            # One that did not answer may have ended: for a while whoever takes its shards over is asked instead.
             silent = {one for one, until in silent_until.items() if reactor.seconds() < until}
             if address is not None and self._is_silent(address):
                 silent.add(address)
@@ -115,8 +115,9 @@
 
 
 class MajorityClient:
-    """Asks owners for an operator. While a majority of the roster answers this node, an order may take its time, as
-    during a take-over; as soon as none does, it ends with NoAnswer: what has left may still come through."""
+    """Asks leaders for an operator. While a majority of the voting configuration answers this node, an order may take
+    its time, as during a failover; as soon as none does, it ends with OutcomeUnknownError: what has left may still come
+    through."""
 
     def __init__(self, node, voter, leaders, client):
         self._node, self._voter, self._owners, self._client = node, voter, leaders, client
--- a/packages/control/oakramp/control/singleton_task.py
+++ b/packages/control/oakramp/control/singleton_task.py
@@ -1,6 +1,6 @@
 """A periodic task that one node of the cluster runs at a time: the leader of a key's shard.
 
-It changes hands with the shard. What a former leader still writes is fenced by the shard's epoch at the voters, or
+It changes hands with the shard. What a previous leader still writes is fenced by the shard's epoch at the voters, or
 loses against a newer version.
 """
 
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -7,7 +7,7 @@
     moving   members, joining A B C +D writes: the same; reads: 2 of B C D
     stable   members          B C D    A is retired
 
-Stores answer only askers of their own epoch. The owner goes on from a phase once a majority of the old and
+Stores answer only askers of their own epoch. The leader goes on from a phase once a majority of the old and
 of the new members say that they stand in its epoch: then no quorum of the phase before can come about any
 more. Reads of a phase meet the writes of its neighbours, and neighbours are all that can be at work at once.
 
@@ -15,8 +15,8 @@
 work at once. Once moving, the change goes on without the one that joins, if it must: it is then a member that has
 to be replaced.
 
-In a cluster that forms itself, the owner of the key also mends the set. A store that lost its disk comes back where
-it was under a new id and takes its former self's place; a machine that is to be emptied, a member that stays silent,
+In a cluster that forms itself, the leader of the key also mends the set. A store that lost its disk comes back where
+it was under a new id and takes its previous self's place; a machine that is to be emptied, a member that stays silent,
 and one that says that it ends, give theirs to a spare: a live store that is not in the set. A spare may be the one that
 replaces a machine which was taken away, and then the next disk may be lost as soon as the spare has been there for the
 bound `rejoin_s`. So a silent member's place is given away in time for a spare to be a full member within that.
@@ -359,7 +359,7 @@
 
     def _successor_of(self, node_id, row):
         """Who came back in this store's place without its disk: at its address, or, once it is silent, on a machine
-        of its name. The former id has ended for ever."""
+        of its name. The previous id has ended for ever."""
         members = self._node.members
         successor = members.successor_of(node_id, row["peer"])
         if successor is not None:
--- a/packages/control/oakramp/control/token_budget.py
+++ b/packages/control/oakramp/control/token_budget.py
@@ -10,8 +10,8 @@
   and only the smaller keeps both promises, in whatever order they come;
 - what a vanished gate has reserved is spent, since nobody knows how much of it was put out.
 
-A row goes when nothing is open and this owner has counted ALLOWANCE_KEPT seconds since its last change or since it took
-the slot over, whichever is later.
+A row goes when nothing is open and this leader has counted ALLOWANCE_KEPT seconds since its last change or since it
+took the shard over, whichever is later.
 """
 
 from schema import And
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -1,6 +1,6 @@
-"""The disk's side of owned keys: one voter on each control node of the roster.
+"""The disk's side of owned keys: one voter on each control node of the voting configuration.
 
-The table of each slot has one owner task; the ring groups the commits of different slots into one sync.
+The table of each shard has one leader task; the ring groups the commits of different shards into one sync.
 """
 
 import json
@@ -23,10 +23,10 @@
 class ShardTable:
     """Invariants, true on disk before any answer that relies on them:
     - `promisedEpoch` never falls; for one epoch there is one `promisedOwner`;
-    - `entries` is the state after `sequence` of the image of `imageEpoch`, with no change left out, and two voters
+    - `entries` is the state after `sequence` of the snapshot of `imageEpoch`, with no change left out, and two voters
       with the same (imageEpoch, sequence) have the same entries;
     - (imageEpoch, sequence) never falls, and imageEpoch <= promisedEpoch;
-    - on the disk, `entries` are those of `generation`; others are leftovers of an image that was not finished, or
+    - on the disk, `entries` are those of `generation`; others are leftovers of a snapshot that was not finished, or
       that was replaced;
     - no row on the disk, and no removal of leftovers under way, is of a generation above `newest_generation`."""
 
@@ -48,13 +48,15 @@
         return pack_json([values[name] for name in HEAD])
 
 
-VOTING_CONFIG_IS_NEW = "rosterIsNew"  # a row of the ring, there until every term of a former roster has ended
+VOTING_CONFIG_IS_NEW = (
+    "rosterIsNew"  # a row of the ring, there until every lease of a previous voting configuration has ended
+)
 HEAD = ("promised_epoch", "promised_owner", "snapshot_epoch", "sequence", "generation")
 
 
 @dataclass
 class StagedSnapshot:
-    """Parts of one image that have come in, in order."""
+    """Parts of one snapshot that have come in, in order."""
 
     label: tuple
     parts: int = 0
@@ -84,7 +86,7 @@
         self._promised_at = {}
         self._holders = {}
         self._reactor = node.reactor
-        self.may_hold_lease = lambda shard, requester: True  # until the owners of this node say for themselves
+        self.may_hold_lease = lambda shard, requester: True  # until the leaders of this node say for themselves
         self._count_from_now()
         self._load()
         self._forget_previous_voting_config()
@@ -137,16 +139,16 @@
         return self._tables[shard].promised_epoch
 
     def last_holder(self, shard):
-        """(epoch, owner) of the lease of the slot that this voter confirmed last; (0, None) if it has confirmed none."""
+        """(epoch, leader) of the lease of the shard that this voter confirmed last; (0, None) if it has confirmed none."""
         return self._holders.get(shard, (0, None))
 
     def quiet_shards(self, least, requester):
-        """The slots for which this voter has been quiet for at least so many seconds."""
+        """The shards for which this voter has been quiet for at least so many seconds."""
         return [shard for shard in self._tables if self.quiet_for(shard, requester) >= least]
 
     def quiet_for(self, shard, requester):
-        """Seconds for which this voter has confirmed no lease of the slot, and has promised it to nobody but the asker:
-        who is just taking it over is not to be disturbed."""
+        """Seconds for which this voter has confirmed no lease of the shard, and has promised it to nobody but the
+        asker: who is just taking it over is not to be disturbed."""
         since = self._confirmed_at[shard]
         if self._tables[shard].promised_owner != requester:
             since = max(since, self._promised_at.get(shard, since))
@@ -159,11 +161,11 @@
         return self._ring.live_bytes() > min(CONTROL_FULL * self._ring.capacity(), room)
 
     def has_room(self, growth, size, entries):
-        """Whether a slot that grows to this size still fits a second time beside all that is here."""
+        """Whether a shard that grows to this size still fits a second time beside all that is here."""
         return self._ring.live_bytes() + growth + size + entries * ENTRY_COST <= self._ring.capacity()
 
     def shard_limit(self):
-        """Bytes that one slot may take."""
+        """Bytes that one shard may take."""
         return SHARD_FULL * self._ring.capacity()
 
     def stop(self):
@@ -172,7 +174,7 @@
             owner.stop()
 
     async def set_voting_config(self, record):
-        """A newer roster, on the disk before anything is answered under it."""
+        """A newer voting configuration, on the disk before anything is answered under it."""
         if self.voting_config is None or record["version"] > self.voting_config.version:
             await self._ring.commit([("roster", pack_json(record)), (VOTING_CONFIG_IS_NEW, b"1")])
             previous, self.voting_config = self.voting_config, VotingConfiguration(record)
@@ -190,8 +192,8 @@
             )
 
     def _forget_previous_voting_config(self):
-        """While the roster is new, who was left out of it may still hold a term; that outlasts a restart of this
-        process."""
+        """While the voting configuration is new, who was left out of it may still hold a lease; that outlasts a restart
+        of this process."""
         if VOTING_CONFIG_IS_NEW in self._ring.table:
             self._reactor.callLater(2 * LEASE, self._on_voting_config_aged, self.voting_config.version)
 
@@ -201,8 +203,10 @@
 
     def _count_from_now(self):
         """Confirmations count as given this instant. At a start, since what this voter confirmed before is forgotten;
-        and with a new roster, since others may have confirmed without this voter under the former ones. Only a step
-        to a joint roster needs nothing: its majorities meet those of the version before in that one's members."""
+        and with a new voting configuration, since others may have confirmed without this voter under the previous ones.
+        Only a step to a joint voting configuration needs nothing: its majorities meet those of the version before in
+        that one's
+        members."""
         self._confirmed_at = dict.fromkeys(range(SHARDS), self._seconds())
 
     async def _voting_config_version(self, _peer, _arguments):
@@ -236,7 +240,7 @@
         earlier = table.promised_epoch, table.promised_owner
         if (
             arguments.epoch <= table.promised_epoch
-        ):  # its own owner's too: a restart has forgotten what it wrote under it
+        ):  # its own leader's too: a restart has forgotten what it wrote under it
             return idl.PrepareResponse(granted=False, promised_epoch=earlier[0], promised_owner=earlier[1])
         self._promised_at[arguments.shard] = self._seconds()
         await self._write(arguments.shard, table, {}, promised_epoch=arguments.epoch, promised_owner=arguments.owner)
@@ -254,7 +258,7 @@
         )
 
     async def _snapshot_part(self, table, peer, arguments):
-        """The image does not move while it is read: only a higher promise could change it, and that ends this."""
+        """The snapshot does not move while it is read: only a higher promise could change it, and that ends this."""
         self._check_voting_config(peer, arguments.voting_config_version)
         if (arguments.epoch, arguments.owner) != (table.promised_epoch, table.promised_owner):
             raise StaleEpochError(f"epoch {table.promised_epoch} is promised")
@@ -270,7 +274,7 @@
         return (epoch, owner) != (table.promised_epoch, table.promised_owner) and epoch <= table.promised_epoch
 
     async def _stage(self, table, peer, arguments):
-        """Part of an image that is too long for one message; in memory until `accept` brings the last one."""
+        """Part of a snapshot that is too long for one message; in memory until `accept` brings the last one."""
         self._check_voting_config(peer, arguments.voting_config_version)
         if self._is_past(table, arguments.epoch, arguments.owner):
             return idl.AppendResponse(taken=False, promised_epoch=table.promised_epoch)
@@ -286,12 +290,12 @@
 
     @staticmethod
     def _covers(table, step):
-        """A merged step of the epoch that the image is of brings all that changed since `fromSequence`, with the newest
-        values; where between the image stands makes no difference."""
+        """A merged step of the epoch that the snapshot is of brings all that changed since `fromSequence`, with the
+        newest values; where between the snapshot stands makes no difference."""
         return step.from_epoch == step.epoch == table.snapshot_epoch and step.from_sequence <= table.sequence
 
     def _judge(self, table, step, owner, is_whole=False):
-        """(answer, head) for a step of this owner: the head is what has to be on the disk, with the step's entries,
+        """(answer, head) for a step of this leader: the head is what has to be on the disk, with the step's entries,
         before the answer is given; None if nothing has to."""
         if self._is_past(table, step.epoch, owner):
             return idl.AppendResponse(taken=False, promised_epoch=table.promised_epoch), None
@@ -333,8 +337,8 @@
         return answer
 
     async def _accept_many(self, peer, arguments):
-        """Steps of different slots in one commit; each is judged by itself. A slot with another command under way, or a
-        commit that is too much for the ring at once, is left to `accept`."""
+        """Steps of different shards in one commit; each is judged by itself. A shard with another command under way, or
+        a commit that is too much for the ring at once, is left to `accept`."""
         self._check_voting_config(peer, arguments.voting_config_version)
         answers, held, writing = [], [], []
         try:
@@ -363,7 +367,7 @@
         return answers
 
     async def _write_step(self, shard, table, changed, head):
-        """A step that is too much for one commit goes in as an image does."""
+        """A step that is too much for one commit goes in as a snapshot does."""
         try:
             await self._write(shard, table, changed, **head)
         except StorageFullError:
@@ -371,7 +375,7 @@
             await self._replace(shard, table, snapshot, head)
 
     async def _replace(self, shard, table, snapshot, head):
-        """Brings the table to this whole image: by what differs, if one commit holds that; else as a new
+        """Brings the table to this whole snapshot: by what differs, if one commit holds that; else as a new
         generation beside the old one, which a last small commit puts in its place. A try that failed, in this life or
         in an earlier one, leaves rows of its generation, and their removal may be under way: each try has its own."""
         changed = dict.fromkeys(table.entries.keys() - snapshot.keys()) | {
@@ -419,7 +423,7 @@
                 table.size += len(key) + len(value)
 
     async def _confirm(self, peer, arguments):
-        """Which of these terms nobody has been promised past. The promise itself is on the disk already."""
+        """Which of these leases nobody has been promised past. The promise itself is on the disk already."""
         confirmed = self._confirmed(
             peer,
             arguments.owner,
@@ -429,14 +433,14 @@
         return [idl.ShardEpoch(shard=shard, epoch=epoch) for shard, epoch in confirmed]
 
     async def _unconfirmed(self, peer, arguments):
-        """For how many ms this voter has been quiet about each of these slots; nothing changes by being asked."""
+        """For how many ms this voter has been quiet about each of these shards; nothing changes by being asked."""
         self._check_voting_config(peer, arguments.voting_config_version)
         if not all(0 <= shard < SHARDS for shard in arguments.shards or []):
             raise StaleEpochError("no such slot")
         return [int(self.quiet_for(shard, peer.node_id) * 1000) for shard in arguments.shards or []]
 
     def confirm_leases(self, peer, leases):
-        """The same of terms that came with a pull; None leaves it to `confirm` to say why not."""
+        """The same of leases that came with a pull; None leaves it to `confirm` to say why not."""
         try:
             if leases.voter != self._node_id:
                 return None
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -2,17 +2,18 @@
 members (joint consensus):
 
     version r      members A B C                           majority of A B C
-    version r+1    members A B C, next B C D E F           majority of both; every slot is written again
+    version r+1    members A B C, next B C D E F           majority of both; every shard is written again
     version r+2    members B C D E F                       majority of B C D E F
 
-A voter answers only messages of its own roster version, so each majority belongs to one version. The owner of
-the key goes on from r+1 once a majority of both sets stands in it (then no majority of version r can come about
-any more) and every slot's owner says that its image lies on majorities of both (then the new set knows all that
-the old one confirmed). The state of the change is in the key itself, so whoever owns it next goes on.
+A voter answers only messages of its own voting configuration version, so each majority belongs to one version. The
+leader of the key goes on from r+1 once a majority of both sets stands in it (then no majority of version r can come
+about any more) and every shard's leader says that its snapshot lies on majorities of both (then the new set knows all
+that the old one confirmed). The state of the change is in the key itself, so whoever owns it next goes on.
 
-In a cluster that forms itself, the owner of the key also mends the roster: who came back without its disk, under a
-new id, takes its former self's place; a member that stays silent gives its place to a live outsider; and further
-live control nodes join. It never shrinks, since what is silent may come back and hold what nobody else does.
+In a cluster that forms itself, the leader of the key also mends the voting configuration: who came back without its
+disk, under a new id, takes its previous self's place; a member that stays silent gives its place to a live outsider;
+and further live control nodes join. It never shrinks, since what is silent may come back and hold what nobody else
+does.
 
 A member that was replaced and comes back with its disk is an outsider, and may join again under its old id: an id is
 one disk, and as long as it is there, so is all it has promised. What it holds is older than what a majority of any
@@ -65,7 +66,7 @@
         self.record, self.version = record, record["version"]
         self.members, self.next = record["members"], record.get("next")
         self.everyone = self.members | (self.next or {})
-        self.named = self.next or self.members  # whom slots are named for: a leaving member hands over early
+        self.named = self.next or self.members  # whom shards are named for: a leaving member hands over early
 
     def is_quorum(self, node_ids):
         """Whether these nodes include a majority of the members, and of the next members where there are some."""
@@ -167,10 +168,10 @@
 
 
 def repaired(members, successors, lost, awaited, outsiders, joining=(), most=VOTING_CONFIG_MOST):
-    """The members that the roster should have: `successors` maps a member to its next incarnation, under a new id;
-    `lost` members give their places to `outsiders`; those of them that are `joining` add to the members. `awaited`
-    members may be lost or back in a moment, so as many outsiders are held back to take their places instead. Nodes
-    are (id, address) pairs."""
+    """The members that the voting configuration should have: `successors` maps a member to its next incarnation, under
+    a new id; `lost` members give their places to `outsiders`; those of them that are `joining` add to the members.
+    `awaited` members may be lost or back in a moment, so as many outsiders are held back to take their places instead.
+    Nodes are (id, address) pairs."""
     places, outsiders = dict(successors), dict(outsiders)
     vacant = [node_id for node_id in lost if node_id not in places]
     places |= {node_id: outsiders.popitem() for node_id in vacant[: len(outsiders)]}
@@ -180,8 +181,8 @@
 
 
 class MembershipRepairTask(SingletonTask):
-    """Follows the published roster, on every control node; on the owner of the key, moves a change on and, if the
-    cluster forms itself, begins those that mend it.
+    """Follows the published voting configuration, on every control node; on the leader of the key, moves a change on
+    and, if the cluster forms itself, begins those that mend it.
 
     Invariant: `_silentSince` holds the members that this node has seen no sign of since then, and `_newSince` the live
     control nodes that are none, in rounds without a gap: one that was frozen itself has watched nobody meanwhile."""
@@ -328,7 +329,7 @@
     # --- moving on ---
 
     def _shard_voting_config(self, shard):
-        """The roster version under which the slot's owner last wrote its image."""
+        """The voting configuration version under which the shard's leader last wrote its snapshot."""
         return json.loads(self._node.state_table.values(f"slot/{shard}").get("roster", b"0"))
 
     async def _is_stood(self, voting_config):
--- a/packages/gossip/oakramp/gossip/daemon.py
+++ b/packages/gossip/oakramp/gossip/daemon.py
@@ -23,7 +23,7 @@
 
 
 def run_from(program, source, build):
-    """The same with an env from `source`, which has a `path` and a read() that raises EnvError with every fault."""
+    """The same with settings from `source`, which has a `path` and a read() that raises SettingsError."""
     try:
         env = source.read()
     except SettingsError as error:
--- a/packages/http_proxy/oakramp/http_proxy/response.py
+++ b/packages/http_proxy/oakramp/http_proxy/response.py
@@ -49,7 +49,7 @@
 
     async def next(self, time_left=None):
         """What has arrived of the body, waiting for some; None once it ended whole. A wait longer than `time_left`
-        raises NoAnswer and leaves the answer as it is."""
+        raises OutcomeUnknownError and leaves the answer as it is."""
         ends_at = None if time_left is None else self._connection.now() + time_left if self._outcome is None else 0.0
         # What arrives may be framing only, which wakes but brings nothing.
         while not self._pieces and self._outcome is None:
--- a/packages/store/oakramp/store/conversations.py
+++ b/packages/store/oakramp/store/conversations.py
@@ -63,7 +63,7 @@
         return stores
 
     async def get(self, key, time_left):
-        """The line as a covering quorum has it. CannotTell if too few stores that may speak answered."""
+        """The line as a covering quorum has it. QuorumUnavailableError if too few stores that may speak answered."""
         ends_at = self._node.reactor.seconds() + time_left
         while True:
             stores = self._stores()
--- a/packages/store/oakramp/store/store_client.py
+++ b/packages/store/oakramp/store/store_client.py
@@ -60,7 +60,7 @@
         return True
 
     async def call(self, node_id, peer, method, time_left, **arguments):
-        """The store's answer. HeldBack, a no, if the store failed just now."""
+        """The store's answer. CallHeldBackError, a no, if the store failed just now."""
         if self.is_held(node_id):
             raise CallHeldBackError(f"{node_id} failed just now")
         began = self._reactor.seconds()
--- a/packages/store/oakramp/store/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -157,8 +157,8 @@
     # --- reading ---
 
     async def read_history(self, turn_id, time_left):
-        """The turn's whole chain. Gone only if a covering quorum of stores knows nothing of the turn; CannotTell if
-        that is not sure, or if parts of the chain cannot be had."""
+        """The turn's whole chain. Gone only if a covering quorum of stores knows nothing of the turn;
+        QuorumUnavailableError if that is not sure, or if parts of the chain cannot be had."""
         ends_at = self._reactor.seconds() + time_left
         while True:
             stores = await self._known_stores(ends_at)
