--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -25,7 +25,7 @@
 from oakramp.control.controllers import SHARD_SOURCE
 from oakramp.control.prepare_phase import PreparePhase
 from oakramp.control.shard_leader import ShardLeader
-from oakramp.membership.members import LIVE
+from oakramp.membership.members import LEAVING, LIVE
 from oakramp.membership.rendezvous_hashing import ranked
 
 if TYPE_CHECKING:
@@ -33,7 +33,6 @@
     from oakramp.control.voter import Voter
     from oakramp.gossip.node import Node
 
-LEAVING = "leaving"  # condition of a member that hands its shards over before it stops
 PARTITIONED = "parted"  # state of a member that reaches no majority of voters, as it is spelled in member rows
 UP = "up"  # state of a member that does
 RETRY_PAUSE = (0.1, 0.5)  # s; drawn between these after a failed attempt, so that two candidates do not stay in step
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -13,7 +13,7 @@
 from oakramp.common.errors import NotFoundError, OakrampError
 from oakramp.common.tasks import drive, sleep
 from oakramp.control.prepare_phase import is_moving
-from oakramp.control.replication import AppendBatcher, Proposal, ShardChange, VoterAddress, VoterUpdates
+from oakramp.control.replication import NO_SNAPSHOT, AppendBatcher, Proposal, ShardChange, VoterAddress, VoterUpdates
 from oakramp.rpc.codec import idl, pack
 
 if TYPE_CHECKING:
@@ -22,7 +22,6 @@
     from oakramp.control.voter import Voter
     from oakramp.gossip.node import Node
 
-NO_SNAPSHOT = 0, 0  # (epoch, sequence); a change that follows no particular snapshot
 RETRY_PAUSE = LEASE_RENEW / 4  # s; until a voter that is passing to this voting configuration is asked again
 
 
