--- a/packages/control/oakramp/control/routing.py
+++ b/packages/control/oakramp/control/routing.py
@@ -162,6 +162,15 @@
             faults.append(f"{name}: its weights add up to nothing")
         if not route["timeout_s"] > 0:
             faults.append(f"{name}: has no time")
+    return faults + _shared_key_faults(table.get("tenants") or {})
+
+
+def _shared_key_faults(tenants):
+    """A key must tell one tenant. The keys themselves are secrets and stand in no fault."""
+    holders, faults = {}, []
+    for name, tenant in tenants.items():
+        others = {holder for key in tenant["keys"] if (holder := holders.setdefault(key, name)) != name}
+        faults += [f"{name}: shares a key with {other}" for other in sorted(others)]
     return faults
 
 
--- a/packages/gateway/oakramp/gateway/routing.py
+++ b/packages/gateway/oakramp/gateway/routing.py
@@ -13,6 +13,7 @@
 from oakramp.common.tasks import Repeater
 from oakramp.control.routing import ROUTING_KEY, document_of, host_of
 from oakramp.control.shards import unpack_entry
+from oakramp.gateway.tenants import TenantTable
 
 
 @dataclass(frozen=True)
@@ -33,6 +34,7 @@
     resumable: bool = False
     gap_target_s: float | None = None
     pinned: bool = False
+    is_keyless: bool = False  # its requests need no tenant's key
     _weighted: tuple = field(init=False, repr=False, compare=False, default=())
 
     def __post_init__(self):
@@ -68,7 +70,8 @@
 
 
 class Router:
-    """Invariants: `version` never falls within one life; routes, services and limits are of that version, whole."""
+    """Invariants: `version` never falls within one life; routes, services, limits and tenants are of that version,
+    whole."""
 
     def __init__(self, node, dialect):
         self._node, self._state_table, self._dialect = node, node.state_table, dialect
@@ -76,8 +79,10 @@
         self._parsed = {}  # the dialect's own, of the last sound document
         self._made = {}  # name -> (row, the route made of it)
         self._hosts = {}
+        self._tenant_rows = None  # what `tenants` was made of
         self._unreadable = None
         self.version, self.routes, self.services, self.limits = 0, {}, {}, {}
+        self.tenants = TenantTable(None)
         node.state_table.watch(ROUTING_KEY, self._moved)
         self._moved(ROUTING_KEY)
 
@@ -114,10 +119,15 @@
             by_host.setdefault(host_of(route.host), []).append(route)
         self._hosts = {host: _Host(of_host) for host, of_host in by_host.items()}
         self._made = made
+        self._take_tenants(table.get("tenants"))
         self.version, self.routes, self.services, self.limits = version, routes, table["services"], table["limits"]
         self._unreadable = None
         self._node.log.info("routing_applied", version=version, routes=len(routes), age_s=round(self.age(), 3))
 
+    def _take_tenants(self, rows):
+        if rows != self._tenant_rows:
+            self.tenants, self._tenant_rows = TenantTable(rows), rows
+
     def find(self, host, path):
         """The route of a request by its host and path, or None."""
         routes = self._hosts.get(host_of(host))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -621,6 +621,7 @@
                 "resumable": False,
                 "pinned": True,
                 "gap_target_s": 0.3,
+                "is_keyless": False,
             },
         )
         self.assertEqual(table["routes"][1]["backends"], [["llm", 90], ["app", 10]])
@@ -633,6 +634,7 @@
                 "tokens_per_event": 30,
                 "records_keys": None,
                 "is_engine": True,
+                "replica_range": None,
             },
         )
         self.assertTrue(table["services"]["app"]["records_keys"])
