--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -146,11 +146,7 @@
             route = self._route_now(proxied_request)
             service = self._service_of(proxied_request)
             instance = await self._acquire(proxied_request, service)
-            if (
-                self._router.staleness() is None
-                and self._route_now(proxied_request) == route
-                and self._balancer.is_ready(instance)
-            ):
+            if self._still_fits(proxied_request, route, instance):
                 now = self._reactor.seconds()
                 proxied_request.reached(PLACED, now)
                 if proxied_request.route.kind == "stream":  # a program's other calls are no turns, and go elsewhere
@@ -159,6 +155,19 @@
                 return instance, service
             self._balancer.release(instance)
 
+    def _still_fits(self, proxied_request, route, instance):
+        """Whether the request, which waited for this replica by way of this route, may be sent to it. If it may not be
+        sent anywhere any more, that is the error, and the replica is released."""
+        try:
+            return (
+                self._router.staleness() is None
+                and self._route_now(proxied_request) == route
+                and self._balancer.is_ready(instance)
+            )
+        except OakrampError:
+            self._balancer.release(instance)
+            raise
+
     async def _acquire(self, proxied_request, service):
         """A replica with one place taken on it, unless the caller goes away meanwhile."""
         acquiring = begin(self._balancer.acquire(self._placement_request(proxied_request, service)))
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -36,6 +36,13 @@
         "if True:",
         "test_relay_calls.ProgramsOfCalls.test_only_turns_make_a_home",
     ),
+    CodeMutation(
+        "a place that a request can use no more is given back",
+        "gateway/oakramp/gateway/proxy_forwarder.py",
+        "            self._balancer.release(instance)\n            raise\n",
+        "            raise\n",
+        "test_relay_calls.RemovedRoutes.test_a_place_that_comes_after_its_route_went_is_given_back",
+    ),
     CodeMutation(
         "a load that nobody told lately is the mean of its service",
         "gateway/oakramp/gateway/replica_load.py",
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -72,6 +72,17 @@
             self.setUp()
 
 
+class RemovedRoutes(Calls):
+    def test_a_place_that_comes_after_its_route_went_is_given_back(self):
+        self.gate.balancer.places = dict.fromkeys(self.gate.balancer.places, 0)
+        caller = self.gate.ask(request("unsafe"))
+        del self.gate.router.routes["/unsafe/"]
+        self.gate.balancer.places = dict.fromkeys(self.gate.balancer.places, 1)
+        self.gate.run(0.1)
+        self.assertEqual((self.said(caller).status, self.gate.dialled()), (404, 0))
+        self.assertEqual(set(self.gate.balancer.places.values()), {1})
+
+
 class Leaving(Calls):
     """A caller that goes away frees its replica, and nothing is sent for it any more."""
 
