--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -148,7 +148,7 @@
 ROUTING_AGE = 1.5  # s; as for blueprints, unless the deployment's bounds say otherwise
 ROUTING_STRETCH = 3.5  # s; a take-over: for so long more a gateway without news calls itself ready, though it refuses
 ROUTING_AGE_POLL = 0.25  # s; how often a gateway looks whether its routing table is outdated, for its log only
-UNKNOWN_ROUTE_LOG_PAUSE = 1.0  # s; between two lines about requests without a route: clients may send many of them
+REJECTED_LOG_PAUSE = 1.0  # s; between two lines about requests without a route, or a key: clients may send many of them
 ALLOWANCE_KEPT = 900.0  # s; after its last turn a program's row goes: a program is over within minutes, and well
 # above
 # the ten minutes that nothing here outlasts
--- a/packages/common/oakramp/common/errors.py
+++ b/packages/common/oakramp/common/errors.py
@@ -63,6 +63,13 @@
     code = "unknown"
 
 
+class UnauthenticatedError(RequestRejectedError):
+    """The request carries no key of a tenant, and its route needs one."""
+
+    status = 401
+    code = "unauthenticated"
+
+
 class MethodNotFoundError(NotFoundError):
     """The peer, or its release, has no such method or command, which says nothing of what was asked for."""
 
--- /dev/null
+++ b/packages/gateway/oakramp/gateway/authentication.py
@@ -0,0 +1,71 @@
+"""Whose a request is, by the key that it carries and the configuration in force.
+
+Invariants: a request without a known key reaches no replica unless its route needs none; no key is logged.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from oakramp.common.constants import REJECTED_LOG_PAUSE, RETRY_AFTER_LEAST
+from oakramp.common.errors import OverloadedError, UnauthenticatedError
+from oakramp.common.log_rate_limit import LogRateLimit
+
+if TYPE_CHECKING:
+    from oakramp.common.structured_logging import EventLogger
+    from oakramp.gateway.proxied_request import ProxiedRequest
+    from oakramp.gateway.routing import Route, Router
+    from oakramp.gateway.tenants import Tenant
+
+
+class Authenticator:
+    """Finds the tenants of requests, and holds to them while the requests wait."""
+
+    def __init__(self, reactor: Any, router: Router, log: EventLogger) -> None:
+        self._router = router
+        self._log = log
+        self._log_limit = LogRateLimit(reactor, REJECTED_LOG_PAUSE)
+
+    def tenant_of(self, api_key: str | None, route: Route) -> Tenant | None:
+        """The tenant that has the key, None if nobody has it and nobody needs to; UnauthenticatedError if somebody
+        does. To be asked only while the configuration is sure to be the newest."""
+        tenant = self._router.tenants.find(api_key)
+        if tenant is None and self._needs_key(route):
+            self._note()
+            raise UnauthenticatedError("this route needs the key of a tenant")
+        return tenant
+
+    def renew(self, proxied_request: ProxiedRequest, route: Route) -> None:
+        """Takes over the request's tenant as it stands now. UnauthenticatedError if its key was taken away.
+
+        What the request read and claimed so far is its first tenant's: if the key is another's now, it has to come
+        again."""
+        tenant = self.tenant_of(proxied_request.request.api_key, route)
+        if _name_of(tenant) != _name_of(proxied_request.tenant):
+            raise OverloadedError("the key became another tenant's", retry_after=RETRY_AFTER_LEAST)
+        proxied_request.tenant = tenant
+
+    def is_current(self, proxied_request: ProxiedRequest) -> bool:
+        """Whether the request may be sent for its tenant by the configuration in force, on its present route."""
+        tenant = self._router.tenants.find(proxied_request.request.api_key)
+        if tenant is None and self._needs_key(proxied_request.route):
+            return False
+        return tenant == proxied_request.tenant
+
+    def _needs_key(self, route: Route) -> bool:
+        return self._router.tenants.is_required and not route.is_keyless
+
+    def _note(self) -> None:
+        left_out = self._log_limit.take()
+        if left_out is None:
+            return
+        self._log.info(
+            "request_unauthenticated",
+            version=self._router.version,
+            age_s=round(self._router.age(), 3),
+            left_out=left_out,
+        )
+
+
+def _name_of(tenant: Tenant | None) -> str | None:
+    return None if tenant is None else tenant.name
--- a/packages/gateway/oakramp/gateway/proxied_request.py
+++ b/packages/gateway/oakramp/gateway/proxied_request.py
@@ -5,6 +5,10 @@
 from hashlib import blake2b
 
 from oakramp.common.errors import DeadlineExceededError, OakrampError, Verdict
+from oakramp.gateway.proxy_types import ProxyRequest
+from oakramp.gateway.routing import Route
+from oakramp.gateway.tenant_scope import scoped_name
+from oakramp.gateway.tenants import Tenant
 
 
 @dataclass
@@ -13,13 +17,14 @@
     until a replica promised that it did not run it; `tries` counts replicas that it was sent to."""
 
     exchange: object
-    request: object
-    route: object
+    request: ProxyRequest  # what it names is in its tenant's scope
+    route: Route
     ends_at: float
     may_repeat: bool
     left: bool = False
     tries: int = 0
     leave_by: float = float("inf")
+    tenant: Tenant | None = None  # None if there are none, or the route needs no key and the request has none
     excluded: set = field(default_factory=set)
     body: bytes = b""
     begins_program: bool = False  # whether it is the first turn of a program
@@ -37,6 +42,18 @@
     replica_id: str | None = None  # the one it was placed at last
     replica_load: float = 0.0  # requests there, as known when it was placed
 
+    @property
+    def priority(self):
+        """Its tenant's, if that has one, else its route's."""
+        if self.tenant is not None and self.tenant.priority is not None:
+            return self.tenant.priority
+        return self.route.priority
+
+    @property
+    def turn_id(self):
+        """The id under which the stores keep this turn."""
+        return scoped_name(self.tenant, self.request.try_id)
+
     def reached(self, stage, now):
         """Notes that the request has come to this stage."""
         self.stages.setdefault(stage, now)
--- a/packages/gateway/oakramp/gateway/proxy.py
+++ b/packages/gateway/oakramp/gateway/proxy.py
@@ -1,7 +1,7 @@
 """Raw requests: the chain of filters from a caller's request to a replica's answer and back.
 
-route -> (claim | admit + recall) -> place -> send -> pass on -> (finish | retain + settle). What a route's kind asks
-for is composed from the same filters; the dialect reads and writes headers and decides nothing.
+route -> authenticate -> (claim | admit + recall) -> place -> send -> pass on -> (finish | retain + settle). What a
+route's kind asks for is composed from the same filters; the dialect reads and writes headers and decides nothing.
 
 Invariants: a request that is not repeatable is sent again only after a promise that it did not run; an answer of ours
 makes that promise (verdict no) only if nothing of the request can have run or will run; an answer that began is either
@@ -11,6 +11,7 @@
 from oakramp.common.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_LEAST
 from oakramp.common.errors import BadRequestError, NotFoundError, OakrampError, QuorumUnavailableError, Verdict
 from oakramp.common.tasks import spawn
+from oakramp.gateway.authentication import Authenticator
 from oakramp.gateway.fresh_state import FreshStateWaiter
 from oakramp.gateway.programs import Programs
 from oakramp.gateway.proxied_request import ProxiedRequest, check_caller, may_repeat
@@ -19,6 +20,7 @@
 from oakramp.gateway.proxy_responses import LocalResponses
 from oakramp.gateway.proxy_streams import Streams
 from oakramp.gateway.request_losses import RequestLosses
+from oakramp.gateway.tenant_scope import scoped_request
 from oakramp.gateway.unknown_routes import UnknownRouteLog
 
 
@@ -30,7 +32,8 @@
         self._dialect, self._router, self._metrics = dialect, router, gate.metrics
         self._answers = LocalResponses(self._reactor, dialect, gate.limits)
         self._programs = Programs()
-        self._carrier = ProxyForwarder(gate, dialect, router, balancer, upstreams, self._programs)
+        self._authenticator = Authenticator(self._reactor, router, self._log)
+        self._carrier = ProxyForwarder(gate, dialect, router, balancer, upstreams, self._programs, self._authenticator)
         keyed = KeyedCalls(gate, dialect, self._carrier, self._answers)
         streams = Streams(gate, dialect, router, self._carrier, self._answers, turn_client, placement)
         self._news = FreshStateWaiter(
@@ -79,7 +82,7 @@
         return max(RETRY_AFTER_LEAST, min(OUTAGE_RETRY_AFTER, OUTAGE_SHARE * time_left))
 
     async def _accept(self, exchange, request):
-        """The request with its route and its time, once the news may be acted on."""
+        """The request with its route, its tenant and its time, once the news may be acted on."""
         if request.fault is not None:
             raise BadRequestError(request.fault)
         why = await self._news.wait(exchange.received_at + HOLD_SHARE * (request.time_left_s or 0.0))
@@ -90,9 +93,12 @@
         if route is None:
             self._unknown_routes.note()
             raise NotFoundError("no route for this host and path")
+        tenant = self._authenticator.tenant_of(request.api_key, route)
+        request = scoped_request(tenant, request)
         time_left = route.timeout_s if request.time_left_s is None else min(request.time_left_s, route.timeout_s)
         ends_at = exchange.received_at + time_left
         proxied_request = ProxiedRequest(exchange, request, route, ends_at, may_repeat(route), body=exchange.body)
+        proxied_request.tenant = tenant
         if proxied_request.may_repeat and route.kind == "stream":
             proxied_request.last_id = request.resume_after  # what its caller has had already
         if route.kind == "stream":
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -47,10 +47,10 @@
 class ProxyForwarder:
     """Carries requests to replicas; `forward` is all that others need."""
 
-    def __init__(self, gate, dialect, router, balancer, upstreams, programs):
+    def __init__(self, gate, dialect, router, balancer, upstreams, programs, authenticator):
         self._gate, self._node, self._reactor, self._log = gate, gate.node, gate.node.reactor, gate.node.log
         self._dialect, self._router, self._balancer, self._upstreams = dialect, router, balancer, upstreams
-        self._metrics, self._programs = gate.metrics, programs
+        self._metrics, self._programs, self._authenticator = gate.metrics, programs, authenticator
 
     async def forward(self, proxied_request, receive):
         """Places and sends until `receive(proxied_request, answer, instance)` gives a result. Goes on to another
@@ -112,7 +112,7 @@
         now = self._reactor.seconds()
         patience_s = (proxied_request.ends_at - now) * PATIENCE_SHARE
         slots = self._router.services[service].get("slots") or 1
-        priority, begins = proxied_request.route.priority, proxied_request.begins_program
+        priority, begins = proxied_request.priority, proxied_request.begins_program
         if begins:
             patience_s = self._programs.patience(patience_s, proxied_request.route.target_s)
         return PlacementRequest(
@@ -178,7 +178,7 @@
             raise ClientDisconnectedError("the caller went away before there was room", Verdict.NO) from None
 
     def _route_now(self, proxied_request):
-        """The route as it stands now; a request follows its changes until it has been sent."""
+        """The route as it stands now; a request follows its changes, and its tenant's, until it has been sent."""
         route = self._router.find(proxied_request.exchange.host, proxied_request.exchange.path)
         if route is None:
             raise NotFoundError("the route was removed")
@@ -186,6 +186,7 @@
             if route.kind != proxied_request.route.kind or route.retained != proxied_request.route.retained:
                 raise OverloadedError("the route changed its kind", retry_after=RETRY_AFTER_LEAST)
             proxied_request.route, proxied_request.may_repeat = route, may_repeat(route)
+        self._authenticator.renew(proxied_request, route)
         return route
 
     def _last_check(self, proxied_request, instance):
@@ -196,6 +197,8 @@
         route = self._router.find(proxied_request.exchange.host, proxied_request.exchange.path)
         if route != proxied_request.route or not self._balancer.is_ready(instance):
             raise PlanChangedError("the route or its replica changed meanwhile")
+        if not self._authenticator.is_current(proxied_request):
+            raise PlanChangedError("the tenant or its keys changed meanwhile")
         remaining(self._reactor, proxied_request)
         if self._reactor.seconds() > proxied_request.leave_by:
             raise DeadlineExceededError("too late after its claim")
@@ -213,6 +216,7 @@
                 remaining_run(self._reactor, proxied_request),
                 len(proxied_request.body),
                 proxied_request.last_id,
+                proxied_request.tenant.name if proxied_request.tenant is not None else None,
             )
 
         cap = self._router.services[service].get("max_connections") or 64
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -104,9 +104,9 @@
         proxied_request.reached(LAST_EVENT, self._reactor.seconds())
         if proxied_request.route.retained:
             record = Record(
-                proxied_request.request.try_id,
+                proxied_request.turn_id,
                 proxied_request.request.previous_turn or None,
-                proxied_request.request.session or proxied_request.request.try_id,
+                proxied_request.request.session or proxied_request.turn_id,
                 proxied_request.exchange.body,
                 b"".join(proxied_request.output),
             )
--- a/packages/gateway/oakramp/gateway/proxy_types.py
+++ b/packages/gateway/oakramp/gateway/proxy_types.py
@@ -1,7 +1,7 @@
 """What the relay knows of a raw request and of a replica's answer, in the product's words. A dialect reads them from
 headers; nothing here depends on how they are spelled there."""
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
@@ -9,6 +9,7 @@
     """Invariant: `fault` is None exactly if every field that was sent could be read; what was not sent is None."""
 
     try_id: str = ""
+    api_key: str | None = field(default=None, repr=False)  # a secret: never logged, never passed on
     time_left_s: float | None = None
     operation_key: str | None = None
     program: str | None = None
--- a/packages/gateway/oakramp/gateway/request_losses.py
+++ b/packages/gateway/oakramp/gateway/request_losses.py
@@ -64,7 +64,7 @@
             reason=reason,
             route=route.name,
             route_kind=route.kind,
-            priority=route.priority,
+            priority=proxied_request.priority,
             target_ms=round(1000 * route.target_s),
             ended_ms=round(1000 * (now - received_at)),
             admitted_ms=after_ms(ADMITTED),
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -12,6 +12,7 @@
     "badRequest": ("BadRequestError", 400, "no"),
     "tooLarge": ("TooLargeError", 413, "no"),
     "unknown": ("NotFoundError", 404, "no"),
+    "unauthenticated": ("UnauthenticatedError", 401, "no"),
     "noMethod": ("MethodNotFoundError", 501, "no"),
     "gone": ("TurnExpiredError", 410, "no"),
     "ended": ("ProgramEndedError", 410, "no"),
