--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -378,3 +378,21 @@
 # as full
 FINDINGS_SHOWN = 64  # tenants; in the operators' list, the worst first
 TENANTS_NAMED = 4  # tenants; named in one log line
+
+# --- duties at the platform ---------------------------------------------------
+DUTY_ROUND = 0.25  # s; between two looks at what is owed to the platform
+DUTY_RATE_SHARE = 0.5  # share of the platform's rate of duty calls; a former holder may have used some of this second's
+DUTY_CALL_TIME = 2.0  # s; for the answer to a call, doubled after each one that came to nothing
+DUTY_CALL_TIME_MOST = 16.0  # s; a platform that is slow still answers in it
+DUTY_BACKOFF = 0.2  # s; after a call that was not accepted, doubled with each further one and drawn at random
+DUTY_BACKOFF_MOST = 2.0  # s; a window is still on time after an outage
+DUTY_LEASE_LEFT = 0.2  # s; of the lease that must be left when a call is sent
+DUTY_LEASE_POLL = 0.1  # s; how often a call under way is held against the lease
+DUTY_ANSWER_LIMIT = 64 << 10  # bytes; of an answer's body, which nobody reads
+DUTY_REFUSALS_MOST = 8  # calls; a report that the platform refuses for good this often is given up
+FREEZE_POLL = 0.1  # s; how often a process notes that it runs
+CLOCK_SAMPLE = 1.0  # s; between two looks at the wall clock
+CLOCK_SAMPLES = 60  # looks; whose median counts, so that a jump shorter than half a minute is not seen
+USAGE_GRACE = 2.5  # s; after a window's end for gateways' last counts, well within what a report may be late
+USAGE_WINDOWS_KEPT = 720  # windows; reported after an outage, an hour of five-second ones
+USAGE_OWED_SHOWN = 16  # windows; named in the operators' view, the oldest first
--- a/packages/common/oakramp/common/http_client.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -169,10 +169,15 @@
         self._reactor, self._bind_host = reactor, bind_host
         self._pool = HTTPConnectionPool(reactor, persistent=False)
 
-    async def send(self, method, address, path, value, time_left, last_check=None):
-        """The head of the answer. Verdict no only if no connection was made or `lastCheck` raised it."""
+    async def send(self, method, address, path, value, time_left, last_check=None, more_headers=None):
+        """The head of the answer. Verdict no only if no connection was made or `lastCheck` raised it.
+
+        `more_headers` are texts by name, sent beside this client's own.
+        """
         body = None if value is None else _Body(pack_json(value))
         headers = Headers({"content-type": ["application/json"], "connection": ["close"]})
+        for name, text in (more_headers or {}).items():
+            headers.setRawHeaders(name, [text])
         agent = Agent.usingEndpointFactory(
             self._reactor, _Endpoints(self._reactor, self._bind_host, last_check), self._pool
         )
@@ -188,10 +193,10 @@
         except Exception as fault:
             raise OutcomeUnknownError(f"{address} broke off: {fault!r}") from fault
 
-    async def data(self, method, address, path, value, time_left, limit=BODY_LIMIT, last_check=None):
+    async def data(self, method, address, path, value, time_left, limit=BODY_LIMIT, last_check=None, more_headers=None):
         """(status, bytes) of a small answer."""
         ends_at = self._reactor.seconds() + time_left
-        response = await self.send(method, address, path, value, time_left, last_check)
+        response = await self.send(method, address, path, value, time_left, last_check, more_headers)
         outcome = defer.Deferred(lambda _: None)
         response.deliverBody(_WholeBody(limit, outcome))
         return response.code, await within(
--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -51,7 +51,8 @@
 # Bounds in seconds that hold where the fleet runs. What each is for: how old a gate's routing table may be (calm, and
 # while the core is unsettled), how far it may go back, how long a leaving replica may get requests, how long a planned
 # stop may take, how long a repeated key finds the first answer, how soon traffic is served after a closing fault, how
-# soon a machine that came back counts, and so on.
+# soon a machine that came back counts, how long a usage window is and how late its report may be, for how long a
+# duty does not come back to a former holder, and so on.
 BOUNDS = numbers(
     "routing_age_s",
     "routing_stretch_s",
@@ -69,10 +70,16 @@
     "address_reuse_s",
     "seed_lag_s",
     "last_aim_s",
+    "usage_window_s",
+    "usage_late_s",
+    "duty_lease_s",
+    "thaw_s",
 )
 RESOURCES = numbers("memory_mb", "descriptors", "disk_mb", "link_mbps")
 # Whether tenants in mutual eviction are looked for (observe), and moved too (on). Gates count only if it is not off.
 EVICTION_MODES = ("off", "observe", "on")
+# What the platform may leave to this fleet: reports of each window's usage, orders of replicas.
+DUTIES = ("usage", "replicaOrders")
 COMMON_SETTINGS = {
     "machine": NAME,
     "zone": NAME,
@@ -88,6 +95,8 @@
     Optional("zones"): [NAME],
     Optional("bounds"): BOUNDS,
     Optional("resources"): RESOURCES,
+    Optional("duties"): [one_of(*DUTIES)],
+    Optional("dutyRate"): POSITIVE,
     Optional("eviction"): Or(None, one_of(*EVICTION_MODES)),
     Optional("logLevel"): Or(None, one_of(*LEVELS)),
     Optional("logFormat"): Or(None, one_of(*FORMATS)),
--- /dev/null
+++ b/packages/control/oakramp/control/platform_duty.py
@@ -0,0 +1,230 @@
+"""Calls to the platform that one node makes at a time, fenced by the epoch under which it leads the duty's shard.
+
+docs/duties.md gives the argument: why no two nodes act at once, and what is left if a process freezes, a link is cut,
+the platform is slow or a clock jumps.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+from enum import StrEnum
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from oakramp.common.constants import (
+    DUTY_ANSWER_LIMIT,
+    DUTY_BACKOFF,
+    DUTY_BACKOFF_MOST,
+    DUTY_CALL_TIME,
+    DUTY_CALL_TIME_MOST,
+    DUTY_LEASE_LEFT,
+    DUTY_LEASE_POLL,
+    DUTY_RATE_SHARE,
+    DUTY_ROUND,
+    LEASE_HELD,
+)
+from oakramp.common.errors import NotShardLeaderError, OakrampError, OutcomeUnknownError, UnreachableError
+from oakramp.common.freeze_watch import FreezeWatch
+from oakramp.common.http_client import HttpClient
+from oakramp.common.rate_limiter import RateLimiter
+from oakramp.common.tasks import begin, shielded, within
+from oakramp.control.singleton_task import SingletonTask
+
+if TYPE_CHECKING:
+    from oakramp.common.duty_request import DutyForm, DutyRequest
+    from oakramp.common.metrics import Metrics
+    from oakramp.control.leader_registry import LeaderRegistry
+    from oakramp.control.shard_leader import ShardLeader
+    from oakramp.gossip.node import Node
+
+DUTY_LEASE_DEFAULT = 3.0  # s; where the bounds name none
+THAW_DEFAULT = 0.3  # s; where the bounds name none
+OK = 200
+TOO_OFTEN = 429
+PASSING_STATUSES = frozenset((408, 425, TOO_OFTEN))  # of the 4xx: the same call may be accepted later
+
+
+class DutyOutcome(StrEnum):
+    """What became of a duty call."""
+
+    ACCEPTED = "accepted"
+    REFUSED = "refused"  # for good: the same call would be refused again
+    THROTTLED = "throttled"
+    FAILED = "failed"  # the platform answered that it could not
+    UNREACHABLE = "unreachable"
+    UNKNOWN = "unknown"  # no answer; the platform may have taken it
+    NOT_SENT = "not_sent"  # the lease did not allow it at its first byte
+
+
+class _StillWaitingError(Exception):
+    """The answer has not come yet."""
+
+
+def outcome_of_status(status: int) -> DutyOutcome:
+    """The outcome that this HTTP status tells of."""
+    if status == OK:
+        return DutyOutcome.ACCEPTED
+    if status == TOO_OFTEN:
+        return DutyOutcome.THROTTLED
+    is_final = 400 <= status < 500 and status not in PASSING_STATUSES
+    return DutyOutcome.REFUSED if is_final else DutyOutcome.FAILED
+
+
+def outcome_of_error(error: OakrampError) -> DutyOutcome:
+    """The outcome of a call that ended with this error."""
+    if isinstance(error, NotShardLeaderError):
+        return DutyOutcome.NOT_SENT
+    return DutyOutcome.UNREACHABLE if isinstance(error, UnreachableError) else DutyOutcome.UNKNOWN
+
+
+class DutyCaller:
+    """What all duties of one node share: the connection to the platform, the rate, and the watch for freezes.
+
+    Other nodes' calls are not known here; so a node keeps to a share of the platform's rate.
+    """
+
+    def __init__(self, node: Node, form: DutyForm, metrics: Metrics) -> None:
+        env = node.env
+        self._client = HttpClient(node.reactor, env["http"].rpartition(":")[0])
+        self._form = form
+        self._metrics = metrics
+        self._holder = env["machine"]
+        self._address = env["platform"]
+        self._rate = RateLimiter(node.reactor, env.get("dutyRate", 10.0) * DUTY_RATE_SHARE)
+        self.freezes = FreezeWatch(node.reactor, (env.get("bounds") or {}).get("thaw_s", THAW_DEFAULT), node.log)
+        node.watch_env(self._take_env)
+
+    def start(self) -> None:
+        """Watches for freezes from now on."""
+        self.freezes.start()
+
+    def stop(self) -> None:
+        """Watches for freezes no longer."""
+        self.freezes.stop()
+
+    async def turn(self) -> None:
+        """Waits until another call keeps to the rate."""
+        await self._rate.turn()
+
+    async def send(self, request: DutyRequest, fence: int, time_left: float, last_check: Any) -> int:
+        """The status of the platform's answer within `time_left` seconds.
+
+        `last_check()` runs in the turn of the reactor in which the first byte is written; what it raises ends the call.
+        """
+        status, _ = await self._client.data(
+            request.method,
+            self._address,
+            request.path,
+            request.body,
+            time_left,
+            DUTY_ANSWER_LIMIT,
+            last_check,
+            self._form.duty_headers(self._holder, fence),
+        )
+        return status
+
+    def count(self, duty: str, outcome: DutyOutcome) -> None:
+        """Counts what became of a call."""
+        self._metrics.count("duty_calls", duty=duty, outcome=outcome.value)
+
+    def _take_env(self, env: dict[str, Any]) -> None:
+        """Takes what may change while the node runs."""
+        self._address = env.get("platform") or self._address
+        self._rate.rate = env.get("dutyRate", 10.0) * DUTY_RATE_SHARE
+
+
+class PlatformDuty(SingletonTask):
+    """A singleton task that calls the platform.
+
+    Invariants:
+    - a call's first byte leaves only while `_check` holds: this node leads the duty's shard, enough of its lease is
+      left, the lease was renewed since this process was last frozen, and it has led for `duty_lease_s`;
+    - a call whose lease ends before its answer is aborted;
+    - all calls of one leadership bear its epoch.
+    """
+
+    def __init__(self, node: Node, leaders: LeaderRegistry, key: str, caller: DutyCaller) -> None:
+        super().__init__(node, leaders, key, DUTY_ROUND)
+        self._key = key
+        self._caller = caller
+        self._duty_lease_s = (node.env.get("bounds") or {}).get("duty_lease_s", DUTY_LEASE_DEFAULT)
+        self._known_leader: ShardLeader | None = None
+        self._failures = 0
+        self._retry_at = float("-inf")
+
+    async def _round(self) -> None:
+        leader = self._owners.active.get(self._shard)
+        if leader is not None and leader is not self._known_leader:
+            self._failures, self._retry_at = 0, float("-inf")
+            self._node.log.info("duty_holder_began", duty=self._key, epoch=leader.epoch)
+        self._known_leader = leader
+        await super()._round()
+
+    def _may_call(self, leader: ShardLeader) -> bool:
+        """Whether a call may be tried now."""
+        return self._node.reactor.seconds() >= self._retry_at and self._why_not(leader) is None
+
+    def _why_not(self, leader: ShardLeader) -> str | None:
+        """Why no call may leave now; None if one may."""
+        now = self._node.reactor.seconds()
+        if not leader.holds_lease():
+            return "there is no lease"
+        if leader.lease_until - now < DUTY_LEASE_LEFT:
+            return "the lease is about to end"
+        if now < leader.serves_since + self._duty_lease_s:
+            return "a call of the former holder may still be on its way"
+        if leader.lease_until < self._caller.freezes.thawed_at() + LEASE_HELD:
+            return "the lease was not renewed since this process was frozen"
+        return None
+
+    def _check(self, leader: ShardLeader) -> None:
+        """Raises NotShardLeaderError unless a call may leave now."""
+        reason = self._why_not(leader)
+        if reason is not None:
+            raise NotShardLeaderError(reason)
+
+    async def _call(self, leader: ShardLeader, request: DutyRequest) -> DutyOutcome:
+        """Makes one call; unless it is accepted, the next one may be made after a pause.
+
+        What was not accepted is to be sent again as it is: a call without an answer may have been taken.
+        """
+        await self._caller.turn()
+        reason = ""
+        try:
+            sending = self._caller.send(request, leader.epoch, self._time_left(), partial(self._check, leader))
+            status = await self._while_leading(leader, sending)
+            outcome, reason = outcome_of_status(status), f"status {status}"
+        except OakrampError as error:
+            outcome, reason = outcome_of_error(error), error.reason
+        self._note(leader, outcome, reason)
+        return outcome
+
+    def _time_left(self) -> float:
+        """Seconds for the answer: more after calls that came to nothing, as the platform may be slow."""
+        return min(DUTY_CALL_TIME_MOST, DUTY_CALL_TIME * 2 ** min(self._failures, 8))
+
+    async def _while_leading(self, leader: ShardLeader, awaited: Awaitable[int]) -> int:
+        """The awaited status; it is given up as soon as the lease is over, which renewals put off meanwhile."""
+        reactor, work = self._node.reactor, begin(awaited)
+        try:
+            while True:
+                try:
+                    return await within(reactor, DUTY_LEASE_POLL, shielded(work), _StillWaitingError())
+                except _StillWaitingError:
+                    if not leader.holds_lease():
+                        raise OutcomeUnknownError("the lease ended before the answer came") from None
+        finally:
+            work.addErrback(lambda _failure: None)
+            work.cancel()
+
+    def _note(self, leader: ShardLeader, outcome: DutyOutcome, reason: str) -> None:
+        self._caller.count(self._key, outcome)
+        if outcome is DutyOutcome.ACCEPTED:
+            self._failures = 0
+            return
+        pause = min(DUTY_BACKOFF_MOST, DUTY_BACKOFF * 2 ** min(self._failures, 8))
+        self._retry_at = self._node.reactor.seconds() + pause * (0.5 + self._node.random.random() / 2)
+        self._failures += 1
+        self._node.log.warning(
+            "duty_call_failed", duty=self._key, epoch=leader.epoch, outcome=outcome.value, reason=reason
+        )
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -52,6 +52,7 @@
         self._queue = BoundedQueue(CONTROL_QUEUE_LIMIT, f"shard{shard}")
         self._deferred: list[QueuedCommand] = []
         self.lease_until = 0.0
+        self.serves_since = float("inf")  # monotonic seconds
         self.voting_config_version = 0
         self.confirmed: defer.Deferred[None] = defer.Deferred()  # fires with the first lease
         self.ended = False
@@ -62,6 +63,7 @@
 
     def serve(self) -> None:
         """Starts to work through commands."""
+        self.serves_since = self._registry.reactor.seconds()
         self._task = spawn(self._run(), self._registry.log)
 
     def extend_lease(self, until: float) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -132,6 +132,17 @@
         )
         self.assertEqual((bounds["claim_window_s"], bounds["ack_s"]), (60.0, 4.0))
 
+    def test_duties_are_told_to_control_nodes_and_gateways(self):
+        text = changed_settings(platform_api__rounds="usage,scale,other", platform_api__rounds_per_s="50.0")
+        for role in ("core", "gate"):
+            env = env_of(text, role)
+            self.assertEqual((env["duties"], env["dutyRate"]), (["usage", "replicaOrders"], 50.0))
+            self.assertEqual(env_of(SETTINGS, role)["duties"], [])
+        text = changed_settings(bounds__report_window_s="4", bounds__lease_ms="2500", bounds__thaw_ms="400")
+        bounds = env_of(text, "core")["bounds"]
+        self.assertEqual((bounds["usage_window_s"], bounds["usage_late_s"]), (4.0, 10.0))
+        self.assertEqual((bounds["duty_lease_s"], bounds["thaw_s"]), (2.5, 0.4))
+
     def test_eviction_is_off_unless_told(self):
         for role in ("core", "gate"):
             self.assertEqual(
@@ -1023,6 +1034,17 @@
         self.assertLessEqual((self.polls() - before) / 20.0, 10.0 * PLATFORM_RATE_SHARE * 1.3)
 
 
+class Duties(unittest.TestCase):
+    def test_who_acts_and_the_fence_stand_in_headers(self):
+        self.assertEqual(Dialect().duty_headers("core-za-1", 12), {"Duty-Holder": "core-za-1", "Fence": "12"})
+
+    def test_a_usage_report_names_the_window_and_the_counts(self):
+        self.assertEqual(
+            Dialect().usage_report(353445120, {"a": 412}),
+            ("POST", "/usage", {"window_no": 353445120, "tallies": {"a": 412}}),
+        )
+
+
 class Rows(unittest.TestCase):
     def test_what_says_what_a_replica_is(self):
         row = {"id": "i-1", "address": "10.0.0.1:80", "pool": "p", "state": "ready"}
