--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -3,10 +3,12 @@
 import time
 
 from oakramp.common.constants import ACCEPT_QUEUE_LIMIT, OWNER_TRIES_PAUSE, SHARDS
+from oakramp.common.duty_request import PlainDutyForm
 from oakramp.common.errors import OakrampError
 from oakramp.common.http_server import HttpServer
 from oakramp.common.metrics import Metrics, serve_metrics
 from oakramp.common.tasks import settled, sleep, spawn
+from oakramp.common.wall_clock import SteadyWallClock
 from oakramp.control import (  # noqa: F401  each enters its controller
     budget,
     idempotency,
@@ -16,6 +18,7 @@
     routing,
     store_membership,
     token_budget,
+    usage,
     voting_configuration,
 )
 from oakramp.control.admin_api import AdminApi
@@ -25,10 +28,12 @@
 from oakramp.control.lease_expiry import LeaseExpiryWatch
 from oakramp.control.membership_repair import MembershipRepairTask
 from oakramp.control.operator_api import OperatorApi
+from oakramp.control.platform_duty import DutyCaller
 from oakramp.control.prefix_placement import PrefixPlacementTask
 from oakramp.control.replica_discovery import ReplicaDiscovery
 from oakramp.control.shard_client import MajorityClient, ShardClient
 from oakramp.control.store_membership import StoreMembershipTask
+from oakramp.control.usage_report import UsageDuty
 from oakramp.control.voter import Voter
 from oakramp.gossip.node import Node
 from oakramp.storage.circular_log import CircularLog
@@ -69,6 +74,9 @@
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.operator = OperatorApi(self, dialect) if dialect is not None and env.get("operator") else None
         self.metrics = Metrics()
+        self.clock = SteadyWallClock(reactor, wall, self.node.log)
+        self.duty_caller, self.usage = None, None
+        self._compose_duties(env, dialect or PlainDutyForm())
         serve_metrics(self.web, self.metrics)
         AdminApi(self)
         for name, ask in (
@@ -88,6 +96,19 @@
         ):
             self.metrics.gauge(name, ask)
 
+    def _compose_duties(self, env, form):
+        """The duties that the platform leaves to this fleet, as far as this node can reach the platform."""
+        duties = env.get("duties") or ()
+        if not duties or not env.get("platform"):
+            return
+        self.duty_caller = DutyCaller(self.node, form, self.metrics)
+        if "usage" in duties:
+            self.usage = UsageDuty(self.node, self.leaders, self.duty_caller, form, self.clock)
+            self.metrics.gauge("usage_windows_owed", self.usage.windows_owed)
+
+    def _duty_parts(self):
+        return [part for part in (self.clock, self.duty_caller, self.usage) if part is not None]
+
     def start(self):
         """Listens, joins the gossip, and starts the periodic tasks once what this node bootstraps is on its disk."""
         self.node.start()
@@ -114,6 +135,8 @@
         self.placement.start()
         if self.platform:
             self.platform.start()
+        for part in self._duty_parts():
+            part.start()
 
     async def stop(self):
         """Hands the shards over, finishes requests under way and stops; other nodes are told first."""
@@ -121,6 +144,8 @@
         await self.node.gossip_client.say_leaving()
         if self.platform:
             self.platform.stop()
+        for part in self._duty_parts():
+            part.stop()
         self.store_watch.stop()
         self.placement.stop()
         self.lapses.stop()
--- a/packages/control/oakramp/control/transaction.py
+++ b/packages/control/oakramp/control/transaction.py
@@ -47,6 +47,11 @@
         """The keys with this prefix among the committed entries, in order; changes of this batch are not seen."""
         return takewhile(lambda key: key.startswith(prefix), self._entries.irange(prefix))
 
+    def keys(self, prefix: str) -> list[str]:
+        """The keys with this prefix in order, after all that this batch has changed so far."""
+        changed = {key for layer in self._layers.maps[:-1] for key in layer if key.startswith(prefix)}
+        return [key for key in sorted(changed.union(self.committed_keys(prefix))) if self._layers[key] is not None]
+
     def nested(self) -> Transaction:
         """A nested transaction for one command; unless it is merged, it leaves nothing behind."""
         transaction = Transaction(self._entries, self.context)
--- /dev/null
+++ b/packages/control/oakramp/control/usage.py
@@ -0,0 +1,160 @@
+"""Usage: how many requests of each tenant began in each window of wall time, counted at the gateways.
+
+Rows of the key "usage":
+- `usage`, the head {next, sent}: the first window that is not closed yet, and the last one that was delivered or None;
+- `usage#count/WINDOW/GATEWAY` {number, counts}: what a gateway has counted so far in a window that is not closed;
+- `usage#window/WINDOW` {counts}: the totals of a closed window that is not delivered yet.
+
+Invariants:
+- a window is closed once: `next` only rises, and the totals of a closed window never change;
+- a count is in its window's total, or came after the close and is dropped;
+- counts are a gateway's whole sum for the window, so that one that is repeated or overtaken changes nothing.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any
+
+from schema import And
+
+from oakramp.common.constants import USAGE_OWED_SHOWN, USAGE_WINDOWS_KEPT
+from oakramp.common.errors import BadRequestError
+from oakramp.common.validation import check_fields, whole
+from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.transaction import Transaction
+
+USAGE_KEY = "usage"
+COUNT_ROWS, WINDOW_ROWS = f"{USAGE_KEY}#count/", f"{USAGE_KEY}#window/"
+NUMBER_LIMIT = 1 << 53
+WINDOW = whole(0, 10**12 - 1)
+GATEWAY: Any = And(str, len, error="must be a gateway's node id")
+COUNT = {"gateway": GATEWAY, "number": whole(0, NUMBER_LIMIT), "windows": dict}
+CLOSE = {"through": WINDOW, "current": WINDOW}
+
+
+def window_row(window: int) -> str:
+    """The row of a closed window; rows sort by number."""
+    return f"{WINDOW_ROWS}{window:012d}"
+
+
+def count_row(window: int, gateway: str) -> str:
+    """The row of one gateway's counts in a window."""
+    return f"{COUNT_ROWS}{window:012d}/{gateway}"
+
+
+def window_of_row(row: str) -> int:
+    """The window that a row of either kind is for."""
+    return int(row.split("/")[1])
+
+
+def _count(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """Takes what a gateway has counted so far in windows that are not closed.
+
+    `number` rises from one message of a gateway to its next; `windows` maps a window's number to counts by tenant.
+
+    Returns:
+        {next}: counts of windows before it are not wanted any more; 0 while no window is open yet.
+    """
+    check_fields(COUNT, arguments)
+    windows = {_window(text): _checked(counts) for text, counts in arguments["windows"].items()}
+    head = transaction.get(key)
+    if head is None:
+        return {"next": 0}
+    for window, counts in windows.items():
+        if head["next"] <= window <= head["next"] + USAGE_WINDOWS_KEPT:
+            _put_count(transaction, count_row(window, arguments["gateway"]), arguments["number"], counts)
+    return {"next": head["next"]}
+
+
+def _put_count(transaction: Transaction, row: str, number: int, counts: dict[str, int]) -> None:
+    known = transaction.get(row)
+    if known is None or (known["number"] < number and known["counts"] != counts):
+        transaction.put(row, {"number": number, "counts": counts})
+
+
+def _window(text: Any) -> int:
+    if not isinstance(text, str) or not text.isascii() or not text.isdigit() or len(text) > 12:
+        raise BadRequestError("windows: must be by number")
+    return int(text)
+
+
+def _checked(counts: Any) -> dict[str, int]:
+    is_fine = isinstance(counts, dict) and all(
+        type(count) is int and 0 <= count < NUMBER_LIMIT for count in counts.values()
+    )
+    if not is_fine:
+        raise BadRequestError("windows: must hold whole numbers by tenant")
+    return counts
+
+
+def _close(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """Closes all windows up to `through`; the first one ever is the one under way, `current`.
+
+    Of windows missed for long, the newest USAGE_WINDOWS_KEPT are kept.
+
+    Returns:
+        {closed, next}: how many windows this has closed.
+    """
+    check_fields(CLOSE, arguments)
+    head, through = transaction.get(key), arguments["through"]
+    if head is None:
+        head = {"next": arguments["current"], "sent": None}
+        transaction.put(key, head)
+    first = max(head["next"], through - USAGE_WINDOWS_KEPT + 1)
+    if through < first:
+        return {"closed": 0, "next": head["next"]}
+    totals: dict[int, Counter[str]] = {window: Counter() for window in range(first, through + 1)}
+    for row in transaction.keys(COUNT_ROWS):
+        window = window_of_row(row)
+        if window > through:
+            break
+        if window in totals:
+            totals[window].update(transaction.get(row)["counts"])
+        transaction.put(row, None)
+    for window, counts in totals.items():
+        transaction.put(window_row(window), {"counts": dict(counts)})
+    transaction.put(key, head | {"next": through + 1})
+    return {"closed": len(totals), "next": through + 1}
+
+
+def _owed(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
+    """The oldest window that is not delivered, with its counts; None for both if there is none."""
+    row = next(iter(transaction.keys(WINDOW_ROWS)), None)
+    if row is None:
+        return {"window": None, "counts": None}
+    return {"window": window_of_row(row), "counts": transaction.get(row)["counts"]}
+
+
+def _delivered(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """The platform has this window's counts; they are kept no longer."""
+    check_fields({"window": WINDOW}, arguments)
+    row = window_row(arguments["window"])
+    if transaction.packed(row) is not None:
+        transaction.put(row, None)
+        transaction.put(key, transaction.get(key) | {"sent": arguments["window"]})
+        transaction.context.touch(row.partition("/")[0])
+    return {}
+
+
+def _read(transaction: Transaction, key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
+    """For operators. `deliveredAge` is None while this leader has delivered nothing."""
+    head = transaction.get(key) or {"next": None, "sent": None}
+    owed = [window_of_row(row) for row in transaction.keys(WINDOW_ROWS)]
+    context, mark = transaction.context, WINDOW_ROWS.partition("/")[0]
+    return {
+        "next": head["next"],
+        "sent": head["sent"],
+        "owed": owed[:USAGE_OWED_SHOWN],
+        "owedCount": len(owed),
+        "deliveredAge": context.age_of(mark) if mark in context.marks else None,
+    }
+
+
+CONTROLLERS.enter(USAGE_KEY)(
+    Controller(
+        {"count": _count, "close": _close, "owed": _owed, "delivered": _delivered, "read": _read},
+        growing=("count",),
+        deferrable=("count",),
+    )
+)
--- /dev/null
+++ b/packages/control/oakramp/control/usage_report.py
@@ -0,0 +1,99 @@
+"""The duty of reporting usage: one node closes each window once it is over, and reports what was closed."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from oakramp.common.constants import DUTY_REFUSALS_MOST, DUTY_ROUND, USAGE_GRACE
+from oakramp.common.wall_clock import SteadyWallClock, window_at
+from oakramp.control.platform_duty import DutyCaller, DutyOutcome, PlatformDuty
+from oakramp.control.shards import shard_of_key
+from oakramp.control.singleton_task import SingletonTask
+from oakramp.control.usage import USAGE_KEY, WINDOW_ROWS
+
+if TYPE_CHECKING:
+    from oakramp.common.duty_request import DutyForm
+    from oakramp.control.leader_registry import LeaderRegistry
+    from oakramp.control.shard_leader import ShardLeader
+    from oakramp.gossip.node import Node
+
+WINDOW_DEFAULT = 5.0  # s; where the bounds name none
+AFTER_WINDOW_ROWS = WINDOW_ROWS[:-1] + chr(ord("/") + 1)
+
+
+class UsageWindowsTask(SingletonTask):
+    """Closes each window USAGE_GRACE after its end, whether or not the platform can be reached.
+
+    Invariant: `_closed` is the leader and the last window that it was asked to close.
+    """
+
+    def __init__(self, node: Node, leaders: LeaderRegistry, clock: SteadyWallClock) -> None:
+        super().__init__(node, leaders, USAGE_KEY, DUTY_ROUND)
+        self._clock = clock
+        self._window_s = (node.env.get("bounds") or {}).get("usage_window_s", WINDOW_DEFAULT)
+        self._closed: tuple[ShardLeader | None, int] = (None, 0)
+
+    async def _work(self, leader: ShardLeader) -> None:
+        now = self._clock.now()
+        through = window_at(now - USAGE_GRACE, self._window_s) - 1
+        if self._closed == (leader, through):
+            return
+        current = window_at(now, self._window_s)
+        result = await leader.do(USAGE_KEY, "close", {"through": through, "current": current})
+        self._closed = leader, through
+        if result["closed"]:
+            self._node.log.debug("usage_window_closed", window=through, closed=result["closed"], epoch=leader.epoch)
+
+
+class UsageReportTask(PlatformDuty):
+    """Reports closed windows, the oldest first, one at a time."""
+
+    def __init__(self, node: Node, leaders: LeaderRegistry, caller: DutyCaller, form: DutyForm) -> None:
+        super().__init__(node, leaders, USAGE_KEY, caller)
+        self._form = form
+        self._refusals = 0
+
+    async def _work(self, leader: ShardLeader) -> None:
+        while self._may_call(leader):
+            owed = await leader.do(USAGE_KEY, "owed", {})
+            if owed["window"] is None:
+                return
+            outcome = await self._call(leader, self._form.usage_report(owed["window"], owed["counts"]))
+            if outcome is DutyOutcome.ACCEPTED or self._is_given_up(outcome, owed["window"]):
+                await leader.do(USAGE_KEY, "delivered", {"window": owed["window"]})
+
+    def _is_given_up(self, outcome: DutyOutcome, window: int) -> bool:
+        """Whether the platform has refused this window for good so often that the next ones should not wait for it."""
+        self._refusals = self._refusals + 1 if outcome is DutyOutcome.REFUSED else 0
+        if self._refusals < DUTY_REFUSALS_MOST:
+            return False
+        self._refusals = 0
+        self._node.log.error("usage_window_given_up", window=window, refusals=DUTY_REFUSALS_MOST)
+        return True
+
+
+class UsageDuty:
+    """The parts of this duty on one node."""
+
+    def __init__(
+        self, node: Node, leaders: LeaderRegistry, caller: DutyCaller, form: DutyForm, clock: SteadyWallClock
+    ) -> None:
+        self._leaders = leaders
+        self._shard = shard_of_key(USAGE_KEY)
+        self._windows = UsageWindowsTask(node, leaders, clock)
+        self._report = UsageReportTask(node, leaders, caller, form)
+
+    def start(self) -> None:
+        """Starts to close and report windows while this node leads the shard."""
+        self._windows.start()
+        self._report.start()
+
+    def stop(self) -> None:
+        """Closes and reports no more windows."""
+        self._windows.stop()
+        self._report.stop()
+
+    def windows_owed(self) -> int:
+        """How many windows are closed and not delivered; 0 on a node that does not hold the duty."""
+        leader = self._leaders.active.get(self._shard)
+        return 0 if leader is None else sum(1 for _ in leader.entries.irange(WINDOW_ROWS, AFTER_WINDOW_ROWS))
