--- a/packages/common/oakramp/common/http_client.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -24,6 +24,7 @@
     Verdict,
 )
 from oakramp.common.tasks import within
+from oakramp.common.tcp_options import limit_unacknowledged
 from oakramp.common.validation import pack_json, parse_json
 
 
@@ -50,26 +51,28 @@
 class _Endpoints:
     """`lastCheck` runs once the connection stands, in the same turn in which the request is written."""
 
-    def __init__(self, reactor, bind_host, last_check=None):
+    def __init__(self, reactor, bind_host, last_check=None, unacknowledged_s=None):
         self._reactor, self._bind_host, self._last_check = reactor, bind_host, last_check
+        self._unacknowledged_s = unacknowledged_s
 
     def endpointForURI(self, uri):
         bound = (self._bind_host, 0) if self._bind_host else None
-        return _CheckedEndpoint(
-            TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, CONNECT_TIME, bound), self._last_check
-        )
+        endpoint = TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, CONNECT_TIME, bound)
+        return _CheckedEndpoint(endpoint, self._last_check, self._unacknowledged_s)
 
 
 @implementer(IStreamClientEndpoint)
 class _CheckedEndpoint:
-    def __init__(self, endpoint, last_check):
-        self._endpoint, self._last_check = endpoint, last_check
+    def __init__(self, endpoint, last_check, unacknowledged_s):
+        self._endpoint, self._last_check, self._unacknowledged_s = endpoint, last_check, unacknowledged_s
 
     def connect(self, factory):
         connecting = self._endpoint.connect(factory)
         return connecting.addCallback(self._check) if self._last_check else connecting
 
     def _check(self, connection):
+        if self._unacknowledged_s is not None:
+            limit_unacknowledged(connection.transport, self._unacknowledged_s)
         try:
             self._last_check()
         except Exception:
@@ -169,18 +172,20 @@
         self._reactor, self._bind_host = reactor, bind_host
         self._pool = HTTPConnectionPool(reactor, persistent=False)
 
-    async def send(self, method, address, path, value, time_left, last_check=None, more_headers=None):
+    async def send(
+        self, method, address, path, value, time_left, last_check=None, more_headers=None, unacknowledged_s=None
+    ):
         """The head of the answer. Verdict no only if no connection was made or `lastCheck` raised it.
 
-        `more_headers` are texts by name, sent beside this client's own.
+        `more_headers` are texts by name, sent beside this client's own. With `lastCheck`, the kernel drops a connection
+        on which nothing is acknowledged for `unacknowledged_s` seconds.
         """
         body = None if value is None else _Body(pack_json(value))
         headers = Headers({"content-type": ["application/json"], "connection": ["close"]})
         for name, text in (more_headers or {}).items():
             headers.setRawHeaders(name, [text])
-        agent = Agent.usingEndpointFactory(
-            self._reactor, _Endpoints(self._reactor, self._bind_host, last_check), self._pool
-        )
+        endpoints = _Endpoints(self._reactor, self._bind_host, last_check, unacknowledged_s)
+        agent = Agent.usingEndpointFactory(self._reactor, endpoints, self._pool)
         asked = agent.request(method.encode(), f"http://{address}{path}".encode(), headers, body)
         try:
             return await within(
@@ -193,10 +198,21 @@
         except Exception as fault:
             raise OutcomeUnknownError(f"{address} broke off: {fault!r}") from fault
 
-    async def data(self, method, address, path, value, time_left, limit=BODY_LIMIT, last_check=None, more_headers=None):
+    async def data(
+        self,
+        method,
+        address,
+        path,
+        value,
+        time_left,
+        limit=BODY_LIMIT,
+        last_check=None,
+        more_headers=None,
+        unacknowledged_s=None,
+    ):
         """(status, bytes) of a small answer."""
         ends_at = self._reactor.seconds() + time_left
-        response = await self.send(method, address, path, value, time_left, last_check, more_headers)
+        response = await self.send(method, address, path, value, time_left, last_check, more_headers, unacknowledged_s)
         outcome = defer.Deferred(lambda _: None)
         response.deliverBody(_WholeBody(limit, outcome))
         return response.code, await within(
--- a/packages/common/oakramp/common/tcp_options.py
+++ b/packages/common/oakramp/common/tcp_options.py
@@ -34,3 +34,13 @@
             handle.setsockopt(*option)
         except OSError:
             pass  # the connection works without; a peer that has gone is told by what is read and written
+
+
+def limit_unacknowledged(transport: Any, seconds: float) -> None:
+    """Has the kernel drop the connection, and all it would still send, once nothing is acknowledged for so long.
+
+    The kernel does so even while the process is frozen. A transport that is no TCP connection of the kernel's is left
+    as it is.
+    """
+    if isinstance(transport, tcp.Connection):
+        transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -74,9 +74,8 @@
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.operator = OperatorApi(self, dialect) if dialect is not None and env.get("operator") else None
         self.metrics = Metrics()
-        self.clock = SteadyWallClock(reactor, wall, self.node.log)
-        self.duty_caller, self.usage = None, None
-        self._compose_duties(env, dialect or PlainDutyForm())
+        self.clock = self.duty_caller = self.usage = None
+        self._compose_duties(env, wall, dialect or PlainDutyForm())
         serve_metrics(self.web, self.metrics)
         AdminApi(self)
         for name, ask in (
@@ -96,11 +95,12 @@
         ):
             self.metrics.gauge(name, ask)
 
-    def _compose_duties(self, env, form):
+    def _compose_duties(self, env, wall, form):
         """The duties that the platform leaves to this fleet, as far as this node can reach the platform."""
         duties = env.get("duties") or ()
         if not duties or not env.get("platform"):
             return
+        self.clock = SteadyWallClock(self.node.reactor, wall, self.node.log)
         self.duty_caller = DutyCaller(self.node, form, self.metrics)
         if "usage" in duties:
             self.usage = UsageDuty(self.node, self.leaders, self.duty_caller, form, self.clock)
--- a/packages/control/oakramp/control/platform_duty.py
+++ b/packages/control/oakramp/control/platform_duty.py
@@ -21,6 +21,7 @@
     DUTY_LEASE_POLL,
     DUTY_RATE_SHARE,
     DUTY_ROUND,
+    DUTY_UNACKNOWLEDGED,
     LEASE_HELD,
 )
 from oakramp.common.errors import NotShardLeaderError, OakrampError, OutcomeUnknownError, UnreachableError
@@ -120,6 +121,7 @@
             DUTY_ANSWER_LIMIT,
             last_check,
             self._form.duty_headers(self._holder, fence),
+            DUTY_UNACKNOWLEDGED,
         )
         return status
 
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -21,6 +21,11 @@
 AFTER_WINDOW_ROWS = WINDOW_ROWS[:-1] + chr(ord("/") + 1)
 
 
+def count_owed(leader: ShardLeader) -> int:
+    """How many windows are closed and not delivered."""
+    return sum(1 for _ in leader.entries.irange(WINDOW_ROWS, AFTER_WINDOW_ROWS))
+
+
 class UsageWindowsTask(SingletonTask):
     """Closes each window USAGE_GRACE after its end, whether or not the platform can be reached.
 
@@ -54,7 +59,7 @@
         self._refusals = 0
 
     async def _work(self, leader: ShardLeader) -> None:
-        while self._may_call(leader):
+        while self._may_call(leader) and count_owed(leader):
             owed = await leader.do(USAGE_KEY, "owed", {})
             if owed["window"] is None:
                 return
@@ -96,4 +101,4 @@
     def windows_owed(self) -> int:
         """How many windows are closed and not delivered; 0 on a node that does not hold the duty."""
         leader = self._leaders.active.get(self._shard)
-        return 0 if leader is None else sum(1 for _ in leader.entries.irange(WINDOW_ROWS, AFTER_WINDOW_ROWS))
+        return 0 if leader is None else count_owed(leader)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,6 +4,7 @@
 """
 
 import json
+import socket
 import unittest
 from collections import Counter
 from types import SimpleNamespace
@@ -13,12 +14,13 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
 from sortedcontainers import SortedDict
-from twisted.internet import task
+from twisted.internet import task, tcp
 
-from oakramp.common.constants import CLOCK_SAMPLES, DUTY_RATE_SHARE, LEASE_HELD, USAGE_WINDOWS_KEPT
+from oakramp.common.constants import CLOCK_SAMPLES, DUTY_RATE_SHARE, DUTY_UNACKNOWLEDGED, LEASE_HELD, USAGE_WINDOWS_KEPT
 from oakramp.common.errors import BadRequestError
 from oakramp.common.freeze_watch import FreezeWatch
 from oakramp.common.tasks import sleep, spawn
+from oakramp.common.tcp_options import limit_unacknowledged
 from oakramp.common.wall_clock import SteadyWallClock, window_at
 from oakramp.control import usage
 from oakramp.control.command_context import CommandContext
@@ -188,6 +190,25 @@
             self.assertIs(outcome_of_status(status), outcome)
 
 
+class Sockets(unittest.TestCase):
+    """What a frozen process cannot do is left to its kernel."""
+
+    def test_a_calls_connection_is_dropped_once_nothing_is_acknowledged(self):
+        handle = socket.socket()
+        self.addCleanup(handle.close)
+        transport = tcp.Connection(handle, None)
+        limit_unacknowledged(transport, DUTY_UNACKNOWLEDGED)
+        told = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
+        self.assertEqual(told, 1000)
+
+    def test_every_duty_call_is_made_so(self):
+        limited = []
+        with mock.patch("oakramp.common.http_client.limit_unacknowledged", lambda _, seconds: limited.append(seconds)):
+            world = DutyWorld("sockets")
+            world.until_calls(3)
+        self.assertEqual(limited[:3], [DUTY_UNACKNOWLEDGED] * 3)
+
+
 class UsageRows:
     """The rows of the key, with commands run as a leader runs them, in batches."""
 
