--- a/packages/cli/oakramp/cli/main.py
+++ b/packages/cli/oakramp/cli/main.py
@@ -252,6 +252,7 @@
 
 _listing("nodes", "/v1/nodes", "Lists all nodes with their condition.")
 _listing("slots", "/v1/slots", "Lists the slots of the control state and who owns them.")
+_listing("duties", "/v1/duties", "Shows who holds each duty at the platform, since when, and what is owed.")
 _listing("stores", "/v1/stores", "Shows the store set, its epoch and phase, and each store's progress.")
 _listing("replicas", "/v1/replicas", "Lists the replicas as the platform listed them.")
 
--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -10,6 +10,7 @@
 from oakramp.control.prefix_placement import PLACEMENT_KEY
 from oakramp.control.quorum_contact import answers_now
 from oakramp.control.replica_registry import REPLICAS_KEY
+from oakramp.control.shards import shard_of_key
 from oakramp.control.store_membership import STORES_KEY, stores_shown
 from oakramp.control.voting_configuration import VOTING_CONFIG_KEY, VotingConfiguration
 
@@ -32,6 +33,7 @@
         web.route("POST", "/v1/programs/{partner}/{program}/end", self._end_program)
         web.route("GET", "/v1/nodes", self._nodes)
         web.route("GET", "/v1/slots", self._shards)
+        web.route("GET", "/v1/duties", self._duties)
         web.route("GET", "/v1/replicas", self._replicas)
         web.route("POST", "/v1/replicas/{id}/leaving", self._mark_leaving)
         web.route("GET", "/v1/placement", self._placement)
@@ -135,6 +137,17 @@
             ]
         }
 
+    async def _duties(self, _call):
+        return 200, {"duties": [await self._duty_shown(key) for key in self._control.duty_keys()]}
+
+    async def _duty_shown(self, key):
+        """Who holds the duty, and what its key's `read` tells."""
+        known = self._control.leaders.failover.known_leader(shard_of_key(key))
+        member = known and self._node.members.find(known.node_id)
+        holder = {"duty": key, "holder": member and member.machine, "epoch": known and known.epoch}
+        _, told = await self._ask(key, "read", {})
+        return holder | told
+
     async def _replicas(self, _call):
         return await self._ask(REPLICAS_KEY, "read", {})
 
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -18,7 +18,6 @@
     routing,
     store_membership,
     token_budget,
-    usage,
     voting_configuration,
 )
 from oakramp.control.admin_api import AdminApi
@@ -33,6 +32,7 @@
 from oakramp.control.replica_discovery import ReplicaDiscovery
 from oakramp.control.shard_client import MajorityClient, ShardClient
 from oakramp.control.store_membership import StoreMembershipTask
+from oakramp.control.usage import USAGE_KEY
 from oakramp.control.usage_report import UsageDuty
 from oakramp.control.voter import Voter
 from oakramp.gossip.node import Node
@@ -106,6 +106,10 @@
             self.usage = UsageDuty(self.node, self.leaders, self.duty_caller, form, self.clock)
             self.metrics.gauge("usage_windows_owed", self.usage.windows_owed)
 
+    def duty_keys(self):
+        """The keys of the duties that this node takes part in."""
+        return [USAGE_KEY] if self.usage else []
+
     def _duty_parts(self):
         return [part for part in (self.clock, self.duty_caller, self.usage) if part is not None]
 
--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -97,6 +97,7 @@
         {closed, next}: how many windows this has closed.
     """
     check_fields(CLOSE, arguments)
+    transaction.context.age_of(key)  # a leader's first close marks since when it leads
     head, through = transaction.get(key), arguments["through"]
     if head is None:
         head = {"next": arguments["current"], "sent": None}
@@ -138,7 +139,7 @@
 
 
 def _read(transaction: Transaction, key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
-    """For operators. `deliveredAge` is None while this leader has delivered nothing."""
+    """For operators; `heldFor` and `deliveredAge` in seconds, the latter None if this leader delivered nothing."""
     head = transaction.get(key) or {"next": None, "sent": None}
     owed = [window_of_row(row) for row in transaction.keys(WINDOW_ROWS)]
     context, mark = transaction.context, WINDOW_ROWS.partition("/")[0]
@@ -147,7 +148,8 @@
         "sent": head["sent"],
         "owed": owed[:USAGE_OWED_SHOWN],
         "owedCount": len(owed),
-        "deliveredAge": context.age_of(mark) if mark in context.marks else None,
+        "heldFor": round(context.age_of(key), 3),
+        "deliveredAge": round(context.age_of(mark), 3) if mark in context.marks else None,
     }
 
 
