--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -58,6 +58,7 @@
     """
     check_fields(COUNT, arguments)
     windows = {_window(text): _checked(counts) for text, counts in arguments["windows"].items()}
+    transaction.context.age_of(key)
     head = transaction.get(key)
     if head is None:
         return {"next": 0}
@@ -97,7 +98,7 @@
         {closed, next}: how many windows this has closed.
     """
     check_fields(CLOSE, arguments)
-    transaction.context.age_of(key)  # a leader's first close marks since when it leads
+    transaction.context.age_of(key)  # the first command under a leader marks since when it leads
     head, through = transaction.get(key), arguments["through"]
     if head is None:
         head = {"next": arguments["current"], "sent": None}
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -29,6 +29,8 @@
 class UsageWindowsTask(SingletonTask):
     """Closes each window USAGE_GRACE after its end, whether or not the platform can be reached.
 
+    A new leader closes nothing for as long: gateways could not tell their last counts while the shard had no leader.
+
     Invariant: `_closed` is the leader and the last window that it was asked to close.
     """
 
@@ -39,6 +41,9 @@
         self._closed: tuple[ShardLeader | None, int] = (None, 0)
 
     async def _work(self, leader: ShardLeader) -> None:
+        is_new = self._node.reactor.seconds() < leader.serves_since + USAGE_GRACE
+        if is_new and USAGE_KEY in leader.entries:
+            return
         now = self._clock.now()
         through = window_at(now - USAGE_GRACE, self._window_s) - 1
         if self._closed == (leader, through):
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1805,4 +1805,11 @@
         "if True:",
         "test_duties_fleet.Fleet.test_a_report_that_is_refused_for_good_holds_up_no_other",
     ),
+    CodeMutation(
+        "a new holder gives gateways time for their last counts",
+        "control/oakramp/control/usage_report.py",
+        "if is_new and USAGE_KEY in leader.entries:",
+        "if False:",
+        "test_duties_fleet.Fleet.test_a_new_holder_lets_gateways_tell_what_they_could_not",
+    ),
 ]
