--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -398,3 +398,5 @@
 USAGE_GRACE = 2.5  # s; after a window's end for gateways' last counts, well within what a report may be late
 USAGE_WINDOWS_KEPT = 720  # windows; reported after an outage, an hour of five-second ones
 USAGE_OWED_SHOWN = 16  # windows; named in the operators' view, the oldest first
+USAGE_REPORT_PAUSE = 1.0  # s; between two reports of a gateway's counts: what a killed gateway may take with it
+USAGE_REPORT_TIME = 2.0  # s; for one report, before the next one has it all again
--- a/packages/gateway/oakramp/gateway/proxied_request.py
+++ b/packages/gateway/oakramp/gateway/proxied_request.py
@@ -41,6 +41,8 @@
     stages: dict = field(default_factory=dict)  # name -> when it was reached first (monotonic seconds)
     replica_id: str | None = None  # the one it was placed at last
     replica_load: float = 0.0  # requests there, as known when it was placed
+    sent_at: float = 0.0  # when its first byte was written to a replica last (monotonic seconds)
+    is_counted: bool = False  # in its tenant's usage
 
     @property
     def priority(self):
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -74,6 +74,7 @@
                     self._judge(instance, error)
                 if error.verdict is not Verdict.NO:
                     unsure = error
+                    self._count_unanswered(proxied_request, error)
                 if not self._may_go_on(proxied_request, error):
                     raise (unsure or error) from None
             finally:
@@ -204,6 +205,7 @@
             raise DeadlineExceededError("too late after its claim")
         proxied_request.left = True
         proxied_request.tries += 1
+        proxied_request.sent_at = self._reactor.seconds()
 
     async def _send(self, proxied_request, instance, service, receive):
         exchange, row = proxied_request.exchange, instance.row
@@ -267,8 +269,20 @@
         if answer.status < 300 and not said.stamped:
             answer.abort()
             raise IncompleteResponseError("the replica's answer bears no stamp", Verdict.MAYBE)
+        self._count_answered(proxied_request, answer)
         return await self._receive(proxied_request, answer, instance, receive)
 
+    def _count_answered(self, proxied_request, answer):
+        """Counts what runs, but for streams: they begin to run with their first event."""
+        if proxied_request.route.kind != "stream" or answer.status >= 300:
+            self._gate.usage.count(proxied_request, proxied_request.sent_at)
+
+    def _count_unanswered(self, proxied_request, error):
+        """Counts what was lost at its replica and probably ran; what was given up here need not have begun."""
+        is_given_up = isinstance(error, (ClientDisconnectedError, DeadlineExceededError))
+        if proxied_request.left and not is_given_up:
+            self._gate.usage.count(proxied_request, proxied_request.sent_at)
+
     async def _receive(self, proxied_request, answer, instance, receive):
         """What `receive` gives, which reads the answer to its end; if it doesn't, the replica is told so."""
 
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -24,6 +24,7 @@
 from oakramp.gateway.prefix_placement import PrefixPlacement
 from oakramp.gateway.proxy import RequestProxy
 from oakramp.gateway.routing import Router, RoutingAgeWatch
+from oakramp.gateway.usage_counter import NoUsage, UsageCounter
 from oakramp.http_proxy.listener import Listener
 from oakramp.http_proxy.upstream import Upstreams
 from oakramp.store.turns import TurnClient
@@ -59,6 +60,8 @@
         self.upstreams = Upstreams(reactor, env["relay"].rpartition(":")[0], self.node.log)
         self.balancer.on_gone = self.upstreams.close_instance
         turns = TurnClient(self.node)
+        is_counting = "usage" in (env.get("duties") or ())
+        self.usage = UsageCounter(self, wall, bounds["usage_window_s"]) if is_counting else NoUsage()
         self.relay = RequestProxy(self, dialect, self.router, self.balancer, self.upstreams, turns, self.placement)
         self._limits = (0, Limits())
         self.front = Listener(
@@ -124,6 +127,7 @@
         self.node.start()
         self.placement.start()
         self._routing_age_watch.start()
+        self.usage.start()
         self.web.listen()
         self.ready_web.listen()
         self.front.listen()
@@ -136,6 +140,7 @@
         await self.node.gossip_client.say_leaving()
         await sleep(self.node.reactor, READY_DRAIN)
         await self.front.stop(max(0.5, ends_at - self.node.reactor.seconds()))
+        await self.usage.stop(STOP_MARGIN / 2)
         await self.wait_settled(STOP_MARGIN)
         self.placement.stop()
         self._routing_age_watch.stop()
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -166,6 +166,7 @@
     def _begin(self, proxied_request):
         proxied_request.head_passed = True
         proxied_request.reached(FIRST_EVENT, self._reactor.seconds())
+        self._gate.usage.count(proxied_request, proxied_request.stages[FIRST_EVENT])
         status, headers = proxied_request.head
         proxied_request.exchange.start(status, headers, None)
 
