--- a/packages/rpc/oakramp/rpc/codec.py
+++ b/packages/rpc/oakramp/rpc/codec.py
@@ -3,26 +3,31 @@
 from struct import Struct
 from typing import Any
 
-from thriftpy2.protocol import TBinaryProtocolFactory
-from thriftpy2.utils import deserialize, serialize
+from thriftpy2.protocol.cybin import TCyBinaryProtocolFactory
+from thriftpy2.transport.memory import TCyMemoryBuffer
 
 from oakramp.common.errors import BadRequestError
 from oakramp.rpc import messages
 
 idl: Any = messages  # the library's classes tell type checkers nothing of their fields
 
-_FACTORY = TBinaryProtocolFactory(decode_response=True)
+# Only the library's parts for the binary protocol in memory: its `utils` imports sockets, TLS and all protocols.
+_FACTORY = TCyBinaryProtocolFactory(decode_response=True)
 
 
 def pack(struct):
     """The bytes of a Thrift struct."""
-    return serialize(struct, _FACTORY)
+    transport = TCyMemoryBuffer()
+    struct.write(_FACTORY.get_protocol(transport))
+    return transport.getvalue()
 
 
 def unpack(struct_class, data):
     """The struct in these bytes. Raises BadRequestError if they are none."""
     try:
-        return deserialize(struct_class(), data, _FACTORY)
+        struct = struct_class()
+        struct.read(_FACTORY.get_protocol(TCyMemoryBuffer(data)))
+        return struct
     except Exception as error:  # the codec raises whatever the bytes provoke
         raise BadRequestError(f"not a {struct_class.__name__}: {error!r}") from error
 
