--- /dev/null
+++ b/packages/common/oakramp/common/http_channel.py
@@ -0,0 +1,91 @@
+"""Connections of the JSON interface with twisted.web.http, imported by oakramp.common.http_server with the first one.
+
+`twisted.web.server` is left out: its resources and sessions are not used here, and importing it would take an eighth
+of a daemon's start.
+"""
+
+from io import BytesIO
+from urllib.parse import unquote_to_bytes
+
+from twisted.web import http
+
+from oakramp.common.constants import BODY_LIMIT, IDLE_CALLER_TIME, LINGER_TIME
+from oakramp.common.errors import TooLargeError
+from oakramp.common.validation import pack_json
+
+
+class Request(http.Request):
+    """Hands a complete request to `server`. Refuses a body that is too large while it arrives, before it fills memory
+    or disk."""
+
+    server = None
+    body_limit = BODY_LIMIT
+    _arrived = 0
+    _closing = None
+
+    def gotLength(self, length):
+        """Called by twisted.web with the body's length, or None if it is not told beforehand."""
+        if length is not None and length > self.body_limit:
+            self._refuse()
+        self.content = BytesIO()  # the limit bounds it, so it needs no file
+
+    def handleContentChunk(self, data):
+        """Called by twisted.web with each part of the body."""
+        self._arrived += len(data)
+        if self._closing is not None:
+            return
+        if self._arrived > self.body_limit:
+            self._refuse()
+            return
+        super().handleContentChunk(data)
+
+    def requestReceived(self, command, path, version):
+        """Called by twisted.web at the end of the body; a refused request goes no further."""
+        if self._closing is None:
+            super().requestReceived(command, path, version)
+            return
+        if self._closing.active():
+            self._closing.cancel()
+            self.channel.loseConnection()
+
+    def process(self):
+        """Called by twisted.web once the whole request is here."""
+        self.setHeader(b"date", http.datetimeToString())
+        self.postpath = [unquote_to_bytes(segment) for segment in self.path[1:].split(b"/")]
+        self.server.handle(self)
+
+    def write(self, data):
+        """Writes a part of the response; to a HEAD request only its headers."""
+        super().write(b"" if self.method == b"HEAD" else data)
+
+    def connectionLost(self, reason):
+        """Called by twisted.web when the caller is gone."""
+        if self._closing is not None and self._closing.active():
+            self._closing.cancel()
+        super().connectionLost(reason)
+
+    def _refuse(self):
+        """What still comes is read and dropped for a while: closed with unread bytes, the connection would be reset,
+        and that may overtake the answer."""
+        body = pack_json(TooLargeError(f"body is over {self.body_limit} bytes").to_json()) + b"\n"
+        self.channel.transport.write(
+            b"HTTP/1.1 413 Request Entity Too Large\r\nContent-Type: application/json\r\nConnection: close\r\n"
+            b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+        )
+        self._closing = self.channel.callLater(LINGER_TIME, self.channel.loseConnection)
+
+
+class RequestFactory(http.HTTPFactory):
+    """Connections whose requests are instances of `request_class`."""
+
+    noisy = False
+
+    def __init__(self, request_class, reactor):
+        super().__init__(timeout=IDLE_CALLER_TIME, reactor=reactor)
+        self._request_class = request_class
+
+    def buildProtocol(self, addr):
+        """A connection for requests of this class."""
+        channel = super().buildProtocol(addr)
+        channel.requestFactory = self._request_class
+        return channel
--- a/packages/common/oakramp/common/http_server.py
+++ b/packages/common/oakramp/common/http_server.py
@@ -1,80 +1,15 @@
-"""JSON over HTTP with twisted.web.http: routes, body limits, errors with their verdict.
+"""JSON over HTTP with twisted.web.http: routes, body limits, errors with their verdict."""
 
-`twisted.web.server` is left out: its resources and sessions are not used here, and importing it would take an eighth
-of a daemon's start.
-"""
-
-from io import BytesIO
-from urllib.parse import unquote_to_bytes
-
-from twisted.internet import defer
+from twisted.internet import defer, protocol
 from twisted.protocols import policies
-from twisted.web import http
 
-from oakramp.common.constants import BODY_LIMIT, IDLE_CALLER_TIME, LINGER_TIME, QUIET_TIME
-from oakramp.common.errors import BadRequestError, NotFoundError, OakrampError, OverloadedError, TooLargeError, Verdict
+from oakramp.common.constants import BODY_LIMIT, QUIET_TIME
+from oakramp.common.errors import BadRequestError, NotFoundError, OakrampError, OverloadedError, Verdict
 from oakramp.common.settings import split_address
 from oakramp.common.tasks import sleep, spawn
 from oakramp.common.validation import pack_json, parse_json
 
 
-class _Request(http.Request):
-    """Hands a complete request to `server`. Refuses a body that is too large while it arrives, before it fills memory
-    or disk."""
-
-    server = None
-    body_limit = BODY_LIMIT
-    _arrived = 0
-    _closing = None
-
-    def gotLength(self, length):
-        if length is not None and length > self.body_limit:
-            self._refuse()
-        self.content = BytesIO()  # the limit bounds it, so it needs no file
-
-    def handleContentChunk(self, data):
-        self._arrived += len(data)
-        if self._closing is not None:
-            return
-        if self._arrived > self.body_limit:
-            self._refuse()
-            return
-        super().handleContentChunk(data)
-
-    def requestReceived(self, command, path, version):
-        if self._closing is None:
-            super().requestReceived(command, path, version)
-            return
-        if self._closing.active():
-            self._closing.cancel()
-            self.channel.loseConnection()
-
-    def process(self):
-        """Called by twisted.web once the whole request is here."""
-        self.setHeader(b"date", http.datetimeToString())
-        self.postpath = [unquote_to_bytes(segment) for segment in self.path[1:].split(b"/")]
-        self.server.handle(self)
-
-    def write(self, data):
-        """Writes a part of the response; to a HEAD request only its headers."""
-        super().write(b"" if self.method == b"HEAD" else data)
-
-    def connectionLost(self, reason):
-        if self._closing is not None and self._closing.active():
-            self._closing.cancel()
-        super().connectionLost(reason)
-
-    def _refuse(self):
-        """What still comes is read and dropped for a while: closed with unread bytes, the connection would be reset,
-        and that may overtake the answer."""
-        body = pack_json(TooLargeError(f"body is over {self.body_limit} bytes").to_json()) + b"\n"
-        self.channel.transport.write(
-            b"HTTP/1.1 413 Request Entity Too Large\r\nContent-Type: application/json\r\nConnection: close\r\n"
-            b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
-        )
-        self._closing = self.channel.callLater(LINGER_TIME, self.channel.loseConnection)
-
-
 class HttpCall:
     """One request as the handlers see it."""
 
@@ -115,19 +50,28 @@
         self.reply(error.status, error.to_json(), error.retry_after)
 
 
-class _RequestFactory(http.HTTPFactory):
-    """Connections whose requests are instances of `request_class`."""
+class _Connections(protocol.Factory):
+    """Connections to a server. What they are made of is imported with the first one: many daemons are never asked
+    anything by way of this interface, and the import would take a twentieth of their start.
+
+    Invariant: `_factory` is never started, as that sets up an access log that nobody reads, with a timer."""
 
     noisy = False
 
-    def __init__(self, request_class, reactor):
-        super().__init__(timeout=IDLE_CALLER_TIME, reactor=reactor)
-        self._request_class = request_class
+    def __init__(self, server, body_limit, reactor):
+        self._server, self._body_limit, self._reactor = server, body_limit, reactor
+        self._factory = None
 
     def buildProtocol(self, addr):
-        channel = super().buildProtocol(addr)
-        channel.requestFactory = self._request_class
-        return channel
+        if self._factory is None:
+            self._factory = self._request_factory()
+        return self._factory.buildProtocol(addr)
+
+    def _request_factory(self):
+        from oakramp.common.http_channel import Request, RequestFactory
+
+        request_class = type("Request", (Request,), {"server": self._server, "body_limit": self._body_limit})
+        return RequestFactory(request_class, self._reactor)
 
 
 class HttpServer:
@@ -140,8 +84,7 @@
         self.running = 0
         self._port = None
         self.stopping = False
-        request_class = type("Request", (_Request,), {"server": self, "body_limit": body_limit})
-        self._connections = policies.WrappingFactory(_RequestFactory(request_class, reactor))
+        self._connections = policies.WrappingFactory(_Connections(self, body_limit, reactor))
         self._connections.noisy = False
 
     def route(self, method, path, handler):
--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -1,6 +1,5 @@
 """The env of a daemon: a JSON settings file overlaid by flags, checked as a whole."""
 
-import argparse
 import ipaddress
 import json
 import sys
@@ -164,6 +163,8 @@
 
 def settings_of_daemon(program, rules, description):
     """The env of this program from its command line; ends with code 2 and a line for each fault."""
+    import argparse  # not all programs read a command line
+
     parser = argparse.ArgumentParser(prog=program, description=description)
     parser.add_argument("--env", metavar="FILE", help="settings file, a JSON object")
     for name in (getattr(key, "schema", key) for key in rules):
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -13,6 +13,7 @@
 
 import json
 from collections import Counter
+from functools import cached_property
 
 from twisted.internet.defer import ensureDeferred
 
@@ -30,7 +31,6 @@
     PLATFORM_TIME,
 )
 from oakramp.common.errors import OakrampError, PlatformUnavailableError, QuorumUnavailableError
-from oakramp.common.http_client import HttpClient
 from oakramp.common.tasks import quorum_of, shielded, sleep, within
 from oakramp.common.validation import pack_json, parse_json
 from oakramp.control.replica_registry import REPLICAS_KEY, readable
@@ -121,7 +121,6 @@
         super().__init__(node, leaders, REPLICAS_KEY, self._pause / PLATFORM_TICKS)
         self._voter, self._address = voter, address
         self._list_form = dialect or PlainReplicaList
-        self._client = HttpClient(node.reactor, node.env["http"].rpartition(":")[0])
         self._rows = ReplicaRowReader(node.log)
         self.reachable = True
         self._pages = 1
@@ -132,6 +131,13 @@
         leaders.publisher.poll_times[REPLICAS_KEY] = float("-inf")
         node.net.handle("platformList", self._serve_list)
 
+    @cached_property
+    def _client(self):
+        """Imported and made with the first look, as most control nodes never look."""
+        from oakramp.common.http_client import HttpClient
+
+        return HttpClient(self._node.reactor, self._node.env["http"].rpartition(":")[0])
+
     def _take_env(self, env):
         """Takes what may change while the node runs."""
         self._address = env.get("platform") or self._address
--- a/packages/gossip/oakramp/gossip/daemon.py
+++ b/packages/gossip/oakramp/gossip/daemon.py
@@ -13,7 +13,6 @@
 from oakramp.common.settings import settings_of_daemon
 from oakramp.common.structured_logging import FORMATS, LEVELS, set_level, skip_unused_record_fields, stderr_sink
 from oakramp.common.tasks import Repeater, monotonic_reactor, spawn, within
-from oakramp.gossip.damaged_node import DamagedNode
 from oakramp.storage.disk import FolderDisk
 
 
@@ -87,6 +86,8 @@
         try:
             node = build(reactor, env, disk, random.SystemRandom(), sink)
         except StorageCorruptedError as error:
+            from oakramp.gossip.damaged_node import DamagedNode
+
             node = DamagedNode(reactor, env, sink, error)
         node.start()
     except BaseException as error:
--- a/packages/http_proxy/oakramp/http_proxy/framing.py
+++ b/packages/http_proxy/oakramp/http_proxy/framing.py
@@ -7,8 +7,7 @@
 """
 
 import re
-
-from twisted.web.http import RESPONSES
+from http import HTTPStatus
 
 from oakramp.common.constants import CHUNK_LINE_LIMIT
 
@@ -33,6 +32,7 @@
         b"expect",
     )
 )
+_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 _STATUS_LINES = {}
 
 
@@ -43,7 +43,7 @@
 def status_line(status):
     line = _STATUS_LINES.get(status)
     if line is None:
-        phrase = RESPONSES.get(status, b"Unknown")
+        phrase = _PHRASES.get(status, b"Unknown")
         line = _STATUS_LINES[status] = b"HTTP/1.1 %d %b\r\n" % (status, phrase)
     return line
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -11,9 +11,30 @@
 import tomllib
 import unittest
 
+import measure_starts
+
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 ROLES = ("gate", "core", "store")
 RUN_MOST = 120  # s
+# What no role needs before its first connections; packages stand for all that is in them.
+UNNEEDED = (
+    "argparse",
+    "asyncio.base_events",
+    "click",
+    "email",
+    "http.client",
+    "hypothesis",
+    "ijson",
+    "importlib.resources",
+    "nose2",
+    "pkg_resources",
+    "ply",
+    "ssl",
+    "thriftpy2.parser",
+    "twisted.web",
+    "unittest",
+    "urllib.request",
+)
 # Imports what a process of this role does, and prints the sources that had to be compiled for it.
 COMPILED = """
 import os, sys
@@ -32,6 +53,23 @@
 print(*[path for path in compiled if path.startswith(roots)])
 """
 
+DEFERRED = """
+import sys
+from oakramp.common import deferred_imports
+for name in deferred_imports.DEFERRED:
+    sys.modules.pop(name, None)
+deferred_imports.install()
+def state(module):
+    return "deferred" if type(module) is deferred_imports.DeferredModule else type(module).__name__
+from http import cookiejar
+print(state(cookiejar), cookiejar.CookieJar.__name__, end=" ")
+import asyncio
+print(state(asyncio), asyncio.iscoroutine.__name__, state(asyncio), asyncio.gather.__name__, end=" ")
+from asyncio import *
+print(state(cookiejar), state(asyncio), run is asyncio.runners.run)
+"""
+LEFT_ALONE = "deferred_imports.install()\nimport pickle\nprint(type(pickle).__name__)"
+
 
 def run(root, *arguments):
     """Standard output of this interpreter in a checkout where no byte code can be written."""
@@ -89,5 +127,22 @@
         self.assertEqual([str(path) for path in (self.root / "packages").rglob("*.pyc")], [])
 
 
+class Imports(unittest.TestCase):
+    def test_a_start_imports_nothing_that_the_role_does_not_need(self):
+        libraries = os.pathsep.join(path for path in sys.path if path.endswith(("site-packages", "deps")))
+        for role in ROLES:
+            _, modules, _ = measure_starts.start(str(ROOT), role, libraries=libraries)
+            unneeded = [name for name in modules if f"{name}.".startswith(tuple(f"{one}." for one in UNNEEDED))]
+            self.assertEqual(unneeded, [], role)
+
+    def test_a_deferred_module_is_whole_once_a_name_is_asked_for(self):
+        said = run(ROOT, "-c", DEFERRED)
+        self.assertEqual(said, "deferred CookieJar deferred iscoroutine deferred gather module module True")
+
+    def test_what_is_imported_already_is_left_alone(self):
+        said = run(ROOT, "-c", "import pickle\nfrom oakramp.common import deferred_imports\n" + LEFT_ALONE)
+        self.assertEqual(said, "module")
+
+
 if __name__ == "__main__":
     unittest.main()
