--- a/packages/storage/oakramp/storage/log_format.py
+++ b/packages/storage/oakramp/storage/log_format.py
@@ -22,6 +22,7 @@
 LAP_SIZE = LAP.size + 4
 RECORD_MARK = b"\xa7oak"
 RECORD = struct.Struct("<4sIIIQQ")
+LAP_NUMBER_SIZE = 4  # bytes, right behind the marker
 SUMMED_FROM = 16
 ENTRY = struct.Struct("<II")
 REMOVED = 0xFFFFFFFF
@@ -102,18 +103,26 @@
     return RECORD_MARK + struct.pack("<I", lap & 0xFFFFFFFF)
 
 
+def _end_of_marks(data: bytes, offset: int) -> int:
+    """The end of the last mark of any lap's record past this offset.
+
+    What follows is mostly zeros, and a search for one lap's mark, which itself is mostly zeros, is twenty times slower
+    in them than this one."""
+    return data.rfind(RECORD_MARK, offset) + len(RECORD_MARK) + LAP_NUMBER_SIZE
+
+
 def records_after(data: bytes, lap: int, offset: int) -> Iterator[LogRecord]:
     """Every whole record of this lap at or past an unreadable place."""
-    mark = record_mark(lap)
-    place = data.find(mark, offset)
+    mark, end = record_mark(lap), _end_of_marks(data, offset)
+    place = data.find(mark, offset, end)
     while place >= 0:
         record = read_record(data, lap, place)
         if record is not None:
             yield record
-        place = data.find(mark, place + 1)
+        place = data.find(mark, place + 1, end)
 
 
 def left_over_of(data: bytes, lap: int, offset: int) -> dict[int, tuple[int, int]]:
     """{lap: (offset, end)} up to the end of what begins like the last record of this lap; empty if there is none."""
-    last = data.rfind(record_mark(lap), offset)
+    last = data.rfind(record_mark(lap), offset, _end_of_marks(data, offset))
     return {} if last < 0 else {lap: (offset, min(last + RECORD.size, len(data)))}
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -8,11 +8,14 @@
 import subprocess
 import sys
 import tempfile
+import time
 import tomllib
 import unittest
 
 import measure_starts
 
+from oakramp.storage.log_format import left_over_of, pack_record, records_after
+
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 ROLES = ("gate", "core", "store")
 RUN_MOST = 120  # s
@@ -127,6 +130,43 @@
         self.assertEqual([str(path) for path in (self.root / "packages").rglob("*.pyc")], [])
 
 
+class EmptyPartsOfTheLog(unittest.TestCase):
+    """What a start looks for behind the last record of a file: mostly zeros, until the log has been once around."""
+
+    SIZE = 8 << 20  # bytes
+    LAP = 2
+
+    def seconds(self, data):
+        """The least processor time of some searches."""
+        spent = []
+        for _ in range(5):
+            began_at = time.process_time()
+            found = list(records_after(data, self.LAP, 0)), left_over_of(data, self.LAP, 0)
+            spent.append(time.process_time() - began_at)
+            self.assertEqual(found, ([], {}))
+        return min(spent)
+
+    def test_zeros_are_searched_no_slower_than_records_of_former_laps(self):
+        record = pack_record(self.LAP - 1, 1, 1, b"what a former lap left " * 40)
+        self.assertLess(self.seconds(bytes(self.SIZE)), 2 * self.seconds(record * (self.SIZE // len(record))))
+
+    def test_records_are_found_wherever_they_stand(self):
+        one, other = (pack_record(self.LAP, number, number, b"batch") for number in (7, 8))
+        former = pack_record(self.LAP - 1, 3, 3, b"former")
+        for parts in (
+            [one],
+            [bytes(9), one],
+            [bytes(9), one, bytes(9), other, bytes(9)],
+            [former, one, former, other, former],
+            [one[:-1], other, former],
+        ):
+            data = b"".join(parts)
+            whole = [(place, number) for number, record in ((7, one), (8, other)) if (place := data.find(record)) >= 0]
+            found = [(record.end - len(one), record.number) for record in records_after(data, self.LAP, 0)]
+            self.assertEqual(found, whole)
+            self.assertEqual(left_over_of(data, self.LAP, 0), {self.LAP: (0, data.rfind(other[:8]) + 32)})
+
+
 class Imports(unittest.TestCase):
     def test_a_start_imports_nothing_that_the_role_does_not_need(self):
         libraries = os.pathsep.join(path for path in sys.path if path.endswith(("site-packages", "deps")))
