--- a/tests/test_tenant_keys_configuration.py
+++ b/tests/test_tenant_keys_configuration.py
@@ -96,6 +96,12 @@
         self.document["senders"][1]["stamps"] *= 2
         self.assertEqual(self.dialect.routing_of(self.document)["tenants"]["hotel"]["keys"], ["hotel-key-1"] * 2)
 
+    def test_a_name_that_no_header_can_hold(self):
+        for name in ("club\nhotel", "club\r", "\0", "\ud800"):
+            with self.subTest(name=name):
+                self.document["senders"][0]["name"] = name
+                self.assertEqual(len(self.faults()), 1)
+
     def test_malformed_tenants(self):
         for item, faults in (
             ({"stamps": []}, ["senders[0].name: is missing"]),
