--- a/packages/common/oakramp/common/duty_request.py
+++ b/packages/common/oakramp/common/duty_request.py
@@ -22,6 +22,9 @@
     def usage_report(self, window: int, counts: dict[str, int]) -> DutyRequest:
         """The report of one window: how many requests of each tenant began in it."""
 
+    def replica_order(self, service: str, zone: str, count: int) -> DutyRequest:
+        """The order that so many replicas of a service run in a zone."""
+
 
 class PlainDutyForm:
     """The product's own form of duty calls."""
@@ -33,3 +36,7 @@
     def usage_report(self, window: int, counts: dict[str, int]) -> DutyRequest:
         """The window's number and the counts by tenant."""
         return DutyRequest("POST", "/usage", {"window": window, "counts": counts})
+
+    def replica_order(self, service: str, zone: str, count: int) -> DutyRequest:
+        """The service, the zone and the number."""
+        return DutyRequest("POST", "/replicas", {"service": service, "zone": zone, "count": count})
--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -77,6 +77,8 @@
 RESOURCES = numbers("memory_mb", "descriptors", "disk_mb", "link_mbps")
 # Whether tenants in mutual eviction are looked for (observe), and moved too (on). Gates count only if it is not off.
 EVICTION_MODES = ("off", "observe", "on")
+# Whether replicas are ordered from the platform, where that is among the duties.
+REPLICA_ORDER_MODES = ("off", "on")
 # What the platform may leave to this fleet: reports of each window's usage, orders of replicas.
 DUTIES = ("usage", "replicaOrders")
 COMMON_SETTINGS = {
@@ -97,6 +99,7 @@
     Optional("duties"): [one_of(*DUTIES)],
     Optional("dutyRate"): POSITIVE,
     Optional("eviction"): Or(None, one_of(*EVICTION_MODES)),
+    Optional("replicaOrders"): Or(None, one_of(*REPLICA_ORDER_MODES)),
     Optional("logLevel"): Or(None, one_of(*LEVELS)),
     Optional("logFormat"): Or(None, one_of(*FORMATS)),
 }
@@ -183,3 +186,8 @@
         for fault in error.detail:
             print(f"{program}: {fault}", file=sys.stderr)
         sys.exit(2)
+
+
+def orders_replicas(env):
+    """Whether the number of replicas is ours to choose, and is to be chosen."""
+    return "replicaOrders" in (env.get("duties") or ()) and env.get("replicaOrders") == "on"
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -7,6 +7,7 @@
 from oakramp.common.errors import OakrampError
 from oakramp.common.http_server import HttpServer
 from oakramp.common.metrics import Metrics, serve_metrics
+from oakramp.common.settings import orders_replicas
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.common.wall_clock import SteadyWallClock
 from oakramp.control import (  # noqa: F401  each enters its controller
@@ -30,6 +31,8 @@
 from oakramp.control.platform_duty import DutyCaller
 from oakramp.control.prefix_placement import PrefixPlacementTask
 from oakramp.control.replica_discovery import ReplicaDiscovery
+from oakramp.control.replica_order_duty import ReplicaOrderDuty
+from oakramp.control.replica_orders import ORDERS_KEY
 from oakramp.control.shard_client import MajorityClient, ShardClient
 from oakramp.control.store_membership import StoreMembershipTask
 from oakramp.control.usage import USAGE_KEY
@@ -74,8 +77,8 @@
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.operator = OperatorApi(self, dialect) if dialect is not None and env.get("operator") else None
         self.metrics = Metrics()
-        self.clock = self.duty_caller = self.usage = None
-        self._compose_duties(env, wall, dialect or PlainDutyForm())
+        self.clock = self.duty_caller = self.usage = self.orders = None
+        self._compose_duties(env, wall, dialect)
         serve_metrics(self.web, self.metrics)
         AdminApi(self)
         for name, ask in (
@@ -95,23 +98,27 @@
         ):
             self.metrics.gauge(name, ask)
 
-    def _compose_duties(self, env, wall, form):
+    def _compose_duties(self, env, wall, dialect):
         """The duties that the platform leaves to this fleet, as far as this node can reach the platform."""
         duties = env.get("duties") or ()
         if not duties or not env.get("platform"):
             return
         self.clock = SteadyWallClock(self.node.reactor, wall, self.node.log)
+        form = dialect or PlainDutyForm()
         self.duty_caller = DutyCaller(self.node, form, self.metrics)
         if "usage" in duties:
             self.usage = UsageDuty(self.node, self.leaders, self.duty_caller, form, self.clock)
             self.metrics.gauge("usage_windows_owed", self.usage.windows_owed)
+        if dialect is not None and orders_replicas(env):
+            self.orders = ReplicaOrderDuty(self.node, self.leaders, self.duty_caller, form, dialect)
+            self.metrics.gauge("replica_orders_owed", self.orders.orders_owed)
 
     def duty_keys(self):
         """The keys of the duties that this node takes part in."""
-        return [USAGE_KEY] if self.usage else []
+        return [key for key, duty in ((USAGE_KEY, self.usage), (ORDERS_KEY, self.orders)) if duty]
 
     def _duty_parts(self):
-        return [part for part in (self.clock, self.duty_caller, self.usage) if part is not None]
+        return [part for part in (self.clock, self.duty_caller, self.usage, self.orders) if part is not None]
 
     def start(self):
         """Listens, joins the gossip, and starts the periodic tasks once what this node bootstraps is on its disk."""
--- /dev/null
+++ b/packages/control/oakramp/control/replica_orders.py
@@ -0,0 +1,169 @@
+"""Orders of replicas: how many of a service are to run in a zone. They are replicated before the platform is told.
+
+Rows of the key "replicaOrders":
+- `replicaOrders#order/SERVICE/ZONE` {service, zone, count, accepted, refusals}: the last order for this service in this
+  zone, whether the platform has accepted it, and how often it has refused it for good.
+
+Invariants:
+- what was sent to the platform stands in its row, so that a successor repeats it as it is, or goes on from it;
+- a row with `accepted` set has been accepted by the platform with this number.
+
+What gateways report of demand is not replicated: it stands in the leadership's marks, and is soon told anew.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterator
+from typing import TYPE_CHECKING, Any
+from urllib.parse import quote
+
+from schema import And
+
+from oakramp.common.constants import DUTY_REFUSALS_MOST, REPORT_GATES
+from oakramp.common.errors import BadRequestError
+from oakramp.common.validation import check_fields, whole
+from oakramp.control.controllers import CONTROLLERS, Controller
+from oakramp.control.shards import unpack_entry
+from oakramp.control.transaction import Transaction
+
+if TYPE_CHECKING:
+    from sortedcontainers import SortedDict
+
+ORDERS_KEY = "replicaOrders"
+ORDER_ROWS = f"{ORDERS_KEY}#order/"
+AFTER_ORDER_ROWS = ORDER_ROWS[:-1] + chr(ord("/") + 1)
+DEMAND_MARK = "replica demand"  # by gateway: (when it came, its number, active and refused requests by service)
+DEMAND_AGE = 3.0  # s; a gateway that was silent for longer is counted no more
+NUMBER_LIMIT = 1 << 53
+NAME_TEXT: Any = And(str, len, error="must be a name")
+NUMBER = whole(0, NUMBER_LIMIT)
+ORDER = {"service": NAME_TEXT, "zone": NAME_TEXT, "count": NUMBER}
+DEMAND = {"gateway": NAME_TEXT, "number": NUMBER, "active": dict, "refused": dict}
+Subject = tuple[str, str]  # service, zone
+
+
+def order_row(service: str, zone: str) -> str:
+    """The row of the orders for a service in a zone."""
+    return f"{ORDER_ROWS}{quote(service, safe='')}/{quote(zone, safe='')}"
+
+
+def orders_in(entries: SortedDict[str, bytes]) -> dict[Subject, dict[str, Any]]:
+    """The rows among a shard's entries by service and zone."""
+    rows = [unpack_entry(entries[key]) for key in entries.irange(ORDER_ROWS, AFTER_ORDER_ROWS)]
+    return {(row["service"], row["zone"]): row for row in rows}
+
+
+def demand_in(marks: dict[str, Any], now: float) -> tuple[int, Counter[str]]:
+    """(gateways heard lately, requests by service) of what was reported in this leadership.
+
+    Refused requests count for no more than the active ones: their callers come again, and are counted each time.
+    """
+    active, refused = Counter[str](), Counter[str]()
+    recent = [report for report in marks.get(DEMAND_MARK, {}).values() if now - report[0] <= DEMAND_AGE]
+    for _, _, active_here, refused_here in recent:
+        active.update(active_here)
+        refused.update(refused_here)
+    for service, count in refused.items():
+        active[service] += min(count, max(1, active[service]))
+    return len(recent), active
+
+
+def _demand(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """Takes the requests by service that a gateway has under way, and those that it refused lately. Nothing is written.
+
+    `number` rises from one message of a gateway to its next, so that one that is overtaken changes nothing.
+    """
+    check_fields(DEMAND, arguments)
+    active, refused = _counts(arguments["active"]), _counts(arguments["refused"])
+    context = transaction.context
+    reports = context.marks.setdefault(DEMAND_MARK, {})
+    for gateway in [gateway for gateway, report in reports.items() if context.now - report[0] > DEMAND_AGE]:
+        del reports[gateway]
+    gateway = arguments["gateway"]
+    is_newer = gateway not in reports or reports[gateway][1] < arguments["number"]
+    if is_newer and (gateway in reports or len(reports) < REPORT_GATES):
+        reports[gateway] = (context.now, arguments["number"], active, refused)
+    return {}
+
+
+def _counts(counts: dict[str, Any]) -> dict[str, int]:
+    if not all(type(count) is int and 0 <= count < NUMBER_LIMIT for count in counts.values()):
+        raise BadRequestError("active, refused: must hold whole numbers by service")
+    return counts
+
+
+def _set_orders(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """Replaces orders by other numbers, and removes those of `ended` subjects, [service, zone] pairs.
+
+    An order for the number that stands in its row already changes nothing.
+    """
+    check_fields({"orders": list, "ended": list}, arguments)
+    for order in arguments["orders"]:
+        check_fields(ORDER, order)
+        row = order_row(order["service"], order["zone"])
+        known = transaction.get(row)
+        if known is None or known["count"] != order["count"]:
+            transaction.put(row, order | {"accepted": False, "refusals": 0})
+    for service, zone in arguments["ended"]:
+        if transaction.packed(order_row(service, zone)) is not None:
+            transaction.put(order_row(service, zone), None)
+    return {}
+
+
+def _rows(transaction: Transaction) -> Iterator[dict[str, Any]]:
+    return (transaction.get(row) for row in transaction.keys(ORDER_ROWS))
+
+
+def is_owed(row: dict[str, Any]) -> bool:
+    """Whether the platform is still to be told of this order."""
+    return not row["accepted"] and row["refusals"] < DUTY_REFUSALS_MOST
+
+
+def _owed(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
+    """The first order that the platform is still to be told of, or None."""
+    row = next(filter(is_owed, _rows(transaction)), None)
+    return {"order": row and {name: row[name] for name in ORDER}}
+
+
+def _accepted(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """The platform has accepted this order; a newer one is still owed."""
+    check_fields(ORDER, arguments)
+    row = order_row(arguments["service"], arguments["zone"])
+    known = transaction.get(row)
+    if known is not None and known["count"] == arguments["count"] and not known["accepted"]:
+        transaction.put(row, known | {"accepted": True})
+    return {}
+
+
+def _refused(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """The platform has refused this order for good; {given_up}: whether it is not sent again."""
+    check_fields(ORDER, arguments)
+    row = order_row(arguments["service"], arguments["zone"])
+    known = transaction.get(row)
+    if known is None or known["count"] != arguments["count"] or known["accepted"]:
+        return {"given_up": False}
+    known = known | {"refusals": known["refusals"] + 1}
+    transaction.put(row, known)
+    return {"given_up": not is_owed(known)}
+
+
+def _read(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
+    """For operators: all orders, and the demand as it is known now."""
+    context = transaction.context
+    gateways, demand = demand_in(context.marks, context.now)
+    return {"orders": list(_rows(transaction)), "gatewaysHeard": gateways, "demand": dict(demand)}
+
+
+CONTROLLERS.enter(ORDERS_KEY)(
+    Controller(
+        {
+            "demand": _demand,
+            "set": _set_orders,
+            "owed": _owed,
+            "accepted": _accepted,
+            "refused": _refused,
+            "read": _read,
+        }
+    )
+)
--- a/packages/gateway/oakramp/gateway/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -97,6 +97,7 @@
         self.instances = {}
         self._by_service, self._service_loads = {}, {}
         self._waiting, self._looking = {}, set()
+        self._refused = Counter()  # by service, since the demand was last taken
         self._order = itertools.count()
         self._scores = {}
         self.on_gone = None
@@ -131,6 +132,12 @@
     def waiting_count(self):
         return sum(map(len, self._waiting.values()))
 
+    def take_demand(self, service):
+        """(active, refused): requests of a service that are at replicas or wait here, and those that were refused for
+        want of room since this was last asked."""
+        own = sum(one.own for one in self._by_service.get(service, ()))
+        return own + len(self._waiting.get(service, ())), self._refused.pop(service, 0)
+
     # --- choosing ---
 
     def _score(self, replica_id, key):
@@ -218,6 +225,7 @@
         now = self._reactor.seconds()
         usable = [one for one in self.known(placement_request.service) if now >= one.closed_until]
         if usable and not any(_has_room(one, placement_request, now) for one in usable):
+            self._refused[placement_request.service] += 1
             raise _no_room(placement_request)
 
     async def acquire(self, placement_request):
@@ -236,6 +244,7 @@
             )
         heap = self._waiting.setdefault(placement_request.service, [])
         if len(heap) >= BALANCER_QUEUE:
+            self._refused[placement_request.service] += 1
             raise OverloadedError("too many requests wait for a replica", retry_after=RETRY_AFTER_LEAST)
         waiter = defer.Deferred(lambda _: None)
         entry = (placement_request.rank, placement_request.due_at, next(self._order), placement_request, waiter)
@@ -249,6 +258,9 @@
                 waiter,
                 _no_room(placement_request),
             )
+        except (DeadlineExceededError, OverloadedError):
+            self._refused[placement_request.service] += 1
+            raise
         finally:
             if entry in heap:
                 heap.remove(entry)
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -17,10 +17,12 @@
 from oakramp.common.errors import OverloadedError, QuorumUnavailableError
 from oakramp.common.http_server import HttpServer
 from oakramp.common.metrics import serve_metrics
+from oakramp.common.settings import orders_replicas
 from oakramp.common.tasks import sleep
 from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.gateway.balancer import Balancer
 from oakramp.gateway.base import GateBase
+from oakramp.gateway.demand_reporter import DemandReporter
 from oakramp.gateway.prefix_placement import PrefixPlacement
 from oakramp.gateway.proxy import RequestProxy
 from oakramp.gateway.routing import Router, RoutingAgeWatch
@@ -62,6 +64,7 @@
         turns = TurnClient(self.node)
         is_counting = "usage" in (env.get("duties") or ())
         self.usage = UsageCounter(self, wall, bounds["usage_window_s"]) if is_counting else NoUsage()
+        self.demand = DemandReporter(self, self.router, self.balancer) if orders_replicas(env) else None
         self.relay = RequestProxy(self, dialect, self.router, self.balancer, self.upstreams, turns, self.placement)
         self._limits = (0, Limits())
         self.front = Listener(
@@ -128,6 +131,8 @@
         self.placement.start()
         self._routing_age_watch.start()
         self.usage.start()
+        if self.demand:
+            self.demand.start()
         self.web.listen()
         self.ready_web.listen()
         self.front.listen()
@@ -139,6 +144,8 @@
         self.front.stopping = True
         await self.node.gossip_client.say_leaving()
         await sleep(self.node.reactor, READY_DRAIN)
+        if self.demand:
+            self.demand.stop()
         await self.front.stop(max(0.5, ends_at - self.node.reactor.seconds()))
         await self.usage.stop(STOP_MARGIN / 2)
         await self.wait_settled(STOP_MARGIN)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -569,5 +569,26 @@
         self.assertEqual(bench.held(), 0)
 
 
+class Demand(unittest.TestCase):
+    def test_what_is_at_replicas_waits_or_was_refused_is_the_demand(self):
+        bench = Bench(replicas=1, slots=4)
+        for _ in range(5):  # four slots, and one more that waits at the replica
+            bench.ask()
+        bench.ask(patience=0.5)
+        self.assertEqual(bench.balancer.take_demand("s"), (6, 0))
+        bench.clock.pump([0.1] * 6)
+        self.assertEqual(bench.balancer.take_demand("s"), (5, 1))
+        self.assertEqual(bench.balancer.take_demand("s"), (5, 0))
+        self.assertEqual(bench.balancer.take_demand("other"), (0, 0))
+
+    def test_programs_that_may_not_begin_are_demand_too(self):
+        bench = Bench(replicas=1, slots=4)
+        instance = bench.ask()[0]
+        bench.balancer.told(instance, (4, 0, 4))
+        with self.assertRaises(OverloadedError):
+            bench.balancer.check_may_begin(bench.placement_request(begin_share=0.5))
+        self.assertEqual(bench.balancer.take_demand("s"), (1, 1))
+
+
 if __name__ == "__main__":
     unittest.main()
