--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -388,8 +388,11 @@
 DUTY_BACKOFF_MOST = 2.0  # s; a window is still on time after an outage
 DUTY_LEASE_LEFT = 0.2  # s; of the lease that must be left when a call is sent
 DUTY_LEASE_POLL = 0.1  # s; how often a call under way is held against the lease
-DUTY_UNACKNOWLEDGED = 1.0  # s; after which the kernel drops what a call's connection still sends: well before the next
+DUTY_UNACKNOWLEDGED = 0.8  # s; after which the kernel drops what a call's connection still sends: well before the next
 # holder acts, and longer than a lost packet takes
+DUTY_ARRIVAL = 1.2  # s; after which nothing arrives any more of what a former holder sent: what it sent last is dropped
+# by its kernel after DUTY_UNACKNOWLEDGED
+DUTY_RECENT = 2  # duty leases; who acted within so long may be the former holder's former holder, and waits for longer
 DUTY_ANSWER_LIMIT = 64 << 10  # bytes; of an answer's body, which nobody reads
 DUTY_REFUSALS_MOST = 8  # calls; a report that the platform refuses for good this often is given up
 FREEZE_POLL = 0.1  # s; how often a process notes that it runs
--- a/packages/control/oakramp/control/platform_duty.py
+++ b/packages/control/oakramp/control/platform_duty.py
@@ -13,6 +13,7 @@
 
 from oakramp.common.constants import (
     DUTY_ANSWER_LIMIT,
+    DUTY_ARRIVAL,
     DUTY_BACKOFF,
     DUTY_BACKOFF_MOST,
     DUTY_CALL_TIME,
@@ -20,6 +21,7 @@
     DUTY_LEASE_LEFT,
     DUTY_LEASE_POLL,
     DUTY_RATE_SHARE,
+    DUTY_RECENT,
     DUTY_ROUND,
     DUTY_UNACKNOWLEDGED,
     LEASE_HELD,
@@ -140,9 +142,11 @@
 
     Invariants:
     - a call's first byte leaves only while `_check` holds: this node leads the duty's shard, enough of its lease is
-      left, the lease was renewed since this process was last frozen, and it has led for `duty_lease_s`;
+      left, the lease was renewed since this process was last frozen, and `_acts_from` has passed;
     - a call whose lease ends before its answer is aborted;
-    - all calls of one leadership bear its epoch.
+    - all calls of one leadership bear its epoch;
+    - `_acted_at` is when this machine acted last as far as this process knows, or when the process started;
+      `_acted_before` is what that was when the present leadership was first seen.
     """
 
     def __init__(self, node: Node, leaders: LeaderRegistry, key: str, caller: DutyCaller) -> None:
@@ -151,6 +155,7 @@
         self._caller = caller
         self._duty_lease_s = (node.env.get("bounds") or {}).get("duty_lease_s", DUTY_LEASE_DEFAULT)
         self._known_leader: ShardLeader | None = None
+        self._acted_at = self._acted_before = node.reactor.seconds()
         self._failures = 0
         self._retry_at = float("-inf")
 
@@ -158,6 +163,7 @@
         leader = self._owners.active.get(self._shard)
         if leader is not None and leader is not self._known_leader:
             self._failures, self._retry_at = 0, float("-inf")
+            self._acted_before = self._acted_at
             self._node.log.info("duty_holder_began", duty=self._key, epoch=leader.epoch)
         self._known_leader = leader
         await super()._round()
@@ -173,17 +179,27 @@
             return "there is no lease"
         if leader.lease_until - now < DUTY_LEASE_LEFT:
             return "the lease is about to end"
-        if now < leader.serves_since + self._duty_lease_s:
+        if now < self._acts_from(leader):
             return "a call of the former holder may still be on its way"
         if leader.lease_until < self._caller.freezes.thawed_at() + LEASE_HELD:
             return "the lease was not renewed since this process was frozen"
         return None
 
+    def _acts_from(self, leader: ShardLeader) -> float:
+        """When the first call under this leadership may leave (monotonic seconds).
+
+        Until then what any former holder sent has arrived; and a machine that may have acted lately does not act again
+        within `duty_lease_s` of another.
+        """
+        acted_lately = leader.serves_since - self._acted_before < DUTY_RECENT * self._duty_lease_s
+        return leader.serves_since + (max(self._duty_lease_s, DUTY_ARRIVAL) if acted_lately else DUTY_ARRIVAL)
+
     def _check(self, leader: ShardLeader) -> None:
-        """Raises NotShardLeaderError unless a call may leave now."""
+        """Notes that a call leaves now; raises NotShardLeaderError if none may."""
         reason = self._why_not(leader)
         if reason is not None:
             raise NotShardLeaderError(reason)
+        self._acted_at = self._node.reactor.seconds()
 
     async def _call(self, leader: ShardLeader, request: DutyRequest) -> DutyOutcome:
         """Makes one call; unless it is accepted, the next one may be made after a pause.
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1686,9 +1686,9 @@
     CodeMutation(
         "a new holder waits for the former one's calls",
         "control/oakramp/control/platform_duty.py",
-        "if now < leader.serves_since + self._duty_lease_s:",
+        "if now < self._acts_from(leader):",
         "if False:",
-        "test_duties.Seeds.test_one_acts_at_a_time_whatever_fails",
+        "test_duties.Fences.test_no_call_before_the_former_holders_calls_have_arrived",
     ),
     CodeMutation(
         "a thawed holder waits for a renewal",
@@ -1878,5 +1878,17 @@
         "            self._refused[placement_request.service] += 1\n            raise _no_room(placement_request)\n",
         "            raise _no_room(placement_request)\n",
         "test_balancer.Demand.test_programs_that_may_not_begin_are_demand_too",
+        "who acted lately waits a whole duty lease",
+        "control/oakramp/control/platform_duty.py",
+        "            self._acted_before = self._acted_at\n",
+        "",
+        "test_duties.Fences.test_who_acted_lately_waits_a_whole_duty_lease",
+    ),
+    CodeMutation(
+        "who may have acted before it started waits a whole duty lease",
+        "control/oakramp/control/platform_duty.py",
+        "self._acted_at = self._acted_before = node.reactor.seconds()",
+        'self._acted_at = self._acted_before = float("-inf")',
+        "test_duties.Fences.test_a_process_that_has_just_started_may_have_acted_lately",
     ),
 ]
