--- a/packages/control/oakramp/control/platform_duty.py
+++ b/packages/control/oakramp/control/platform_duty.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Awaitable
 from enum import StrEnum
-from functools import partial
+from functools import cached_property, partial
 from typing import TYPE_CHECKING, Any
 
 from oakramp.common.constants import (
@@ -28,13 +28,13 @@
 )
 from oakramp.common.errors import NotShardLeaderError, OakrampError, OutcomeUnknownError, UnreachableError
 from oakramp.common.freeze_watch import FreezeWatch
-from oakramp.common.http_client import HttpClient
 from oakramp.common.rate_limiter import RateLimiter
 from oakramp.common.tasks import begin, shielded, within
 from oakramp.control.singleton_task import SingletonTask
 
 if TYPE_CHECKING:
     from oakramp.common.duty_request import DutyForm, DutyRequest
+    from oakramp.common.http_client import HttpClient
     from oakramp.common.metrics import Metrics
     from oakramp.control.leader_registry import LeaderRegistry
     from oakramp.control.shard_leader import ShardLeader
@@ -88,7 +88,8 @@
 
     def __init__(self, node: Node, form: DutyForm, metrics: Metrics) -> None:
         env = node.env
-        self._client = HttpClient(node.reactor, env["http"].rpartition(":")[0])
+        self._reactor = node.reactor
+        self._bind_host = env["http"].rpartition(":")[0]
         self._form = form
         self._metrics = metrics
         self._holder = env["machine"]
@@ -97,6 +98,13 @@
         self.freezes = FreezeWatch(node.reactor, (env.get("bounds") or {}).get("thaw_s", THAW_DEFAULT), node.log)
         node.watch_env(self._take_env)
 
+    @cached_property
+    def _client(self) -> HttpClient:
+        """Imported and made with the first call, as most control nodes never make one."""
+        from oakramp.common.http_client import HttpClient
+
+        return HttpClient(self._reactor, self._bind_host)
+
     def start(self) -> None:
         """Watches for freezes from now on."""
         self.freezes.start()
