--- a/packages/gateway/oakramp/gateway/authentication.py
+++ b/packages/gateway/oakramp/gateway/authentication.py
@@ -27,12 +27,18 @@
         self._log_limit = LogRateLimit(reactor, REJECTED_LOG_PAUSE)
 
     def tenant_of(self, api_key: str | None, route: Route) -> Tenant | None:
-        """The tenant that has the key, None if nobody has it and nobody needs to; UnauthenticatedError if somebody
-        does. To be asked only while the configuration is sure to be the newest."""
+        """The tenant that has the key, or None for a request without one that needs none.
+
+        To be asked only while the configuration is sure to be the newest. A key that nobody has is no better on a route
+        that needs none: its client takes itself for somebody.
+
+        Raises:
+            UnauthenticatedError: the key is not known, or there is none and the route needs one.
+        """
         tenant = self._router.tenants.find(api_key)
-        if tenant is None and self._needs_key(route):
+        if tenant is None and self._is_refused(api_key, route):
             self._note()
-            raise UnauthenticatedError("this route needs the key of a tenant")
+            raise UnauthenticatedError("a key of a tenant is needed here, alone")
         return tenant
 
     def renew(self, proxied_request: ProxiedRequest, route: Route) -> None:
@@ -47,13 +53,14 @@
 
     def is_current(self, proxied_request: ProxiedRequest) -> bool:
         """Whether the request may be sent for its tenant by the configuration in force, on its present route."""
-        tenant = self._router.tenants.find(proxied_request.request.api_key)
-        if tenant is None and self._needs_key(proxied_request.route):
+        api_key = proxied_request.request.api_key
+        tenant = self._router.tenants.find(api_key)
+        if tenant is None and self._is_refused(api_key, proxied_request.route):
             return False
         return tenant == proxied_request.tenant
 
-    def _needs_key(self, route: Route) -> bool:
-        return self._router.tenants.is_required and not route.is_keyless
+    def _is_refused(self, unknown_key: str | None, route: Route) -> bool:
+        return self._router.tenants.is_required and (unknown_key is not None or not route.is_keyless)
 
     def _note(self) -> None:
         left_out = self._log_limit.take()
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1525,17 +1525,24 @@
     CodeMutation(
         "a request without a known key reaches no replica",
         "gateway/oakramp/gateway/authentication.py",
-        "        if tenant is None and self._needs_key(route):",
+        "        if tenant is None and self._is_refused(api_key, route):",
         "        if False:",
         "test_tenant_keys.Authentication.test_without_a_known_key_nothing_reaches_a_replica",
     ),
     CodeMutation(
         "a keyless route needs no key",
         "gateway/oakramp/gateway/authentication.py",
-        "return self._router.tenants.is_required and not route.is_keyless",
-        "return self._router.tenants.is_required",
+        "(unknown_key is not None or not route.is_keyless)",
+        "True",
         "test_tenant_keys.Authentication.test_a_keyless_route_needs_no_key",
     ),
+    CodeMutation(
+        "an unknown key is refused on a keyless route too",
+        "gateway/oakramp/gateway/authentication.py",
+        "(unknown_key is not None or not route.is_keyless)",
+        "not route.is_keyless",
+        "test_tenant_keys.Authentication.test_an_unknown_key_is_refused_on_a_keyless_route_too",
+    ),
     CodeMutation(
         "a key that was taken away is known no more when the first byte leaves",
         "gateway/oakramp/gateway/proxy_forwarder.py",
@@ -1878,6 +1885,8 @@
         "            self._refused[placement_request.service] += 1\n            raise _no_room(placement_request)\n",
         "            raise _no_room(placement_request)\n",
         "test_balancer.Demand.test_programs_that_may_not_begin_are_demand_too",
+    ),
+    CodeMutation(
         "who acted lately waits a whole duty lease",
         "control/oakramp/control/platform_duty.py",
         "            self._acted_before = self._acted_at\n",
