--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -278,9 +278,11 @@
             self._gate.usage.count(proxied_request, proxied_request.sent_at)
 
     def _count_unanswered(self, proxied_request, error):
-        """Counts what was lost at its replica and probably ran; what was given up here need not have begun."""
+        """Counts a call that was lost at its replica and probably ran.
+
+        What was given up here need not have begun, nor a stream that gave no event."""
         is_given_up = isinstance(error, (ClientDisconnectedError, DeadlineExceededError))
-        if proxied_request.left and not is_given_up:
+        if proxied_request.left and proxied_request.route.kind != "stream" and not is_given_up:
             self._gate.usage.count(proxied_request, proxied_request.sent_at)
 
     async def _receive(self, proxied_request, answer, instance, receive):
--- a/packages/gateway/oakramp/gateway/usage_counter.py
+++ b/packages/gateway/oakramp/gateway/usage_counter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from oakramp.common.constants import USAGE_REPORT_PAUSE, USAGE_REPORT_TIME
+from oakramp.common.constants import USAGE_REPORT_PAUSE, USAGE_REPORT_TIME, USAGE_WINDOWS_KEPT
 from oakramp.common.errors import OakrampError
 from oakramp.common.tasks import Repeater
 from oakramp.common.wall_clock import SteadyWallClock, window_at
@@ -36,7 +36,8 @@
 
 class UsageCounter(NoUsage):
     """Invariants: a request is counted once, however many replicas it was sent to; `_windows` holds no window that is
-    known to be closed; `_is_changed` is set while there is something that no report has told."""
+    known to be closed, and the newest USAGE_WINDOWS_KEPT at most; `_is_changed` is set while there is something that no
+    report has told."""
 
     def __init__(self, gate: GateBase, wall: Callable[[], float], window_s: float) -> None:
         """`window_s` is the length of a window in seconds."""
@@ -68,6 +69,8 @@
         wall_time = self._clock.now() - (self._node.reactor.seconds() - began_at)
         counts = self._windows.setdefault(window_at(wall_time, self._window_s), Counter())
         counts[proxied_request.tenant.name] += 1
+        if len(self._windows) > USAGE_WINDOWS_KEPT:
+            del self._windows[min(self._windows)]
         self._is_changed = True
 
     async def _report(self, time_left: float = USAGE_REPORT_TIME) -> None:
@@ -87,5 +90,8 @@
             self._is_changed = True
             self._node.log.info("usage_report_failed", reason=error.reason)
             return
+        except BaseException:
+            self._is_changed = True
+            raise
         for window in [window for window in self._windows if window < answer["next"]]:
             del self._windows[window]
