--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -32,6 +32,7 @@
 ADDRESS = And(str, is_address, error="must be IP:PORT")
 
 POSITIVE = And(lambda number: type(number) in (int, float) and number >= 0, error="must be a number, 0 or more")
+ABOVE_ZERO = And(lambda number: type(number) in (int, float) and number > 0, error="must be a number above 0")
 FLAG = And(bool, error="must be true or false")
 
 
@@ -97,7 +98,7 @@
     Optional("bounds"): BOUNDS,
     Optional("resources"): RESOURCES,
     Optional("duties"): [one_of(*DUTIES)],
-    Optional("dutyRate"): POSITIVE,
+    Optional("dutyRate"): ABOVE_ZERO,
     Optional("eviction"): Or(None, one_of(*EVICTION_MODES)),
     Optional("replicaOrders"): Or(None, one_of(*REPLICA_ORDER_MODES)),
     Optional("logLevel"): Or(None, one_of(*LEVELS)),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -144,6 +144,8 @@
             env = env_of(text, role)
             self.assertEqual((env["duties"], env["dutyRate"]), (["usage", "replicaOrders"], 50.0))
             self.assertEqual(env_of(SETTINGS, role)["duties"], [])
+        with self.assertRaises(SettingsError):
+            check_settings(CONTROL_SETTINGS, env | {"dutyRate": 0})
         text = changed_settings(bounds__report_window_s="4", bounds__lease_ms="2500", bounds__thaw_ms="400")
         bounds = env_of(text, "core")["bounds"]
         self.assertEqual((bounds["usage_window_s"], bounds["usage_late_s"]), (4.0, 10.0))
