--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -393,6 +393,11 @@
 DUTY_ARRIVAL = 1.2  # s; after which nothing arrives any more of what a former holder sent: what it sent last is dropped
 # by its kernel after DUTY_UNACKNOWLEDGED
 DUTY_RECENT = 2  # duty leases; who acted within so long may be the former holder's former holder, and waits for longer
+DUTY_OFFER_AFTER = 2.0  # s; a holder that cannot connect to the platform for so long offers its shard to others
+DUTY_OFFERS = 3  # nodes; that are asked at a time
+DUTY_PROBE_TIME = 0.5  # s; to connect to the platform, for who is offered a duty
+DUTY_OFFER_TIME = 0.8  # s; for that node's answer
+DUTY_DECLINED = 30.0  # s; for which who has handed a duty over does not ask for it back
 DUTY_ANSWER_LIMIT = 64 << 10  # bytes; of an answer's body, which nobody reads
 DUTY_REFUSALS_MOST = 8  # calls; a report that the platform refuses for good this often is given up
 FREEZE_POLL = 0.1  # s; how often a process notes that it runs
--- a/packages/common/oakramp/common/http_client.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -23,6 +23,7 @@
     UnreachableError,
     Verdict,
 )
+from oakramp.common.settings import split_address
 from oakramp.common.tasks import within
 from oakramp.common.tcp_options import limit_unacknowledged
 from oakramp.common.validation import pack_json, parse_json
@@ -172,6 +173,17 @@
         self._reactor, self._bind_host = reactor, bind_host
         self._pool = HTTPConnectionPool(reactor, persistent=False)
 
+    async def probe(self, address, time_left):
+        """Opens a connection and closes it. Raises UnreachableError if none is made within `time_left` seconds."""
+        host, port = split_address(address)
+        bound = (self._bind_host, 0) if self._bind_host else None
+        endpoint = TCP4ClientEndpoint(self._reactor, host, port, time_left, bound)
+        try:
+            connection = await endpoint.connect(protocol.Factory.forProtocol(protocol.Protocol))
+        except error.ConnectError as fault:
+            raise UnreachableError(f"{address} cannot be reached: {fault!r}") from fault
+        connection.transport.loseConnection()
+
     async def send(
         self, method, address, path, value, time_left, last_check=None, more_headers=None, unacknowledged_s=None
     ):
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -23,6 +23,7 @@
 )
 from oakramp.control.admin_api import AdminApi
 from oakramp.control.bootstrap import found, founding_of
+from oakramp.control.duty_hand_over import DutyHandOver
 from oakramp.control.leader_registry import LeaderRegistry
 from oakramp.control.lease import LeaseRenewalPiggyback
 from oakramp.control.lease_expiry import LeaseExpiryWatch
@@ -105,7 +106,8 @@
             return
         self.clock = SteadyWallClock(self.node.reactor, wall, self.node.log)
         form = dialect or PlainDutyForm()
-        self.duty_caller = DutyCaller(self.node, form, self.metrics)
+        hand_over = DutyHandOver(self.node, self.leaders)
+        self.duty_caller = DutyCaller(self.node, form, self.metrics, hand_over)
         if "usage" in duties:
             self.usage = UsageDuty(self.node, self.leaders, self.duty_caller, form, self.clock)
             self.metrics.gauge("usage_windows_owed", self.usage.windows_owed)
--- /dev/null
+++ b/packages/control/oakramp/control/duty_hand_over.py
@@ -0,0 +1,60 @@
+"""Gives a duty's shard to a node that reaches the platform, where its leader does not.
+
+A leader's lease tells nothing of the way to the platform. Whether a node takes the shard over decides nothing about
+safety: it does so by the ordinary failover, which asks the leader to release it.
+"""
+
+from __future__ import annotations
+
+from functools import cached_property
+from typing import TYPE_CHECKING, Any
+
+from oakramp.common.constants import DUTY_DECLINED, DUTY_OFFER_TIME, DUTY_OFFERS, DUTY_PROBE_TIME
+from oakramp.common.errors import OakrampError
+
+if TYPE_CHECKING:
+    from oakramp.common.http_client import HttpClient
+    from oakramp.control.leader_registry import LeaderRegistry
+    from oakramp.gossip.node import Node
+
+
+class DutyHandOver:
+    """Offers this node's shards to other voters, and takes theirs if this node reaches the platform."""
+
+    def __init__(self, node: Node, leaders: LeaderRegistry) -> None:
+        self._node = node
+        self._leaders = leaders
+        node.net.handle("dutyTake", self._serve_take)
+
+    @cached_property
+    def _client(self) -> HttpClient:
+        """Imported and made with the first offer that comes."""
+        from oakramp.common.http_client import HttpClient
+
+        return HttpClient(self._node.reactor, self._node.env["http"].rpartition(":")[0])
+
+    async def offer(self, shard: int) -> bool:
+        """Offers the shard to some live voters, one after another; whether one of them takes it over."""
+        addresses = self._leaders.voter_addresses()
+        others = [node_id for node_id in self._leaders.failover.live_voters() if node_id != self._node.node_id]
+        self._node.random.shuffle(others)
+        for node_id in others[:DUTY_OFFERS]:
+            try:
+                is_taken = await self._node.net.call(addresses[node_id], "dutyTake", DUTY_OFFER_TIME, shard=shard)
+            except OakrampError:
+                continue
+            if is_taken:
+                self._leaders.failover.decline(shard, DUTY_DECLINED)
+                self._node.log.info("duty_handed_over", shard=shard, to=node_id)
+                return True
+        return False
+
+    async def _serve_take(self, _peer: Any, arguments: Any) -> bool:
+        failover = self._leaders.failover
+        if self._node.node_id not in failover.live_voters():
+            return False
+        await self._client.probe(self._node.env["platform"], DUTY_PROBE_TIME)
+        if not failover.is_free(arguments.shard):
+            return False
+        failover.begin_failover(arguments.shard)
+        return True
--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -62,7 +62,7 @@
         self._attempts: dict[int, int] = {}  # shard -> epoch of the attempt under way
         self._seen_epochs: dict[int, int] = {}  # shard -> highest epoch that a voter is known to have promised
         self._refused_epochs: dict[int, int] = {}  # shard -> highest epoch for which a voter has refused this node
-        self._released_at: dict[int, float] = {}  # shard -> when another member asked for it (monotonic seconds)
+        self._declined_until: dict[int, float] = {}  # shard -> until when it is left to others (monotonic seconds)
         self._orders: tuple[tuple[str, ...], list[list[str]]] = (), []
         self._started_at = node.reactor.seconds()
         voter.may_hold_lease = self.may_hold_lease
@@ -139,6 +139,11 @@
         candidates = [node_id for node_id in self.live_voters() if node_id not in suspects]
         return bool(candidates) and ranked(candidates, f"slot{shard}")[0] == self._node.node_id
 
+    def decline(self, shard: int, seconds: float) -> None:
+        """Leaves the shard to others for so long; another member has asked for it."""
+        until = self._reactor.seconds() + seconds
+        self._declined_until[shard] = max(until, self._declined_until.get(shard, until))
+
     def begin_failover(self, shard: int, expired: bool = False) -> None:
         """Starts to take the shard over; its leader is not asked to release it where a majority calls its lease
         expired."""
@@ -292,12 +297,13 @@
             self._node.member_state.report_partitioned(is_partitioned)
 
     def _is_handed_over(self, shard: int) -> bool:
-        """Whether another member has asked this one for the shard within the time of a lease.
+        """Whether another member has asked this one for the shard just now: within the time of a lease, or longer if
+        this node has offered it.
 
         That member may not count as live here yet, as when it is just back from a partition; a failover of this node
         beside its own would only delay both.
         """
-        return self._reactor.seconds() < self._released_at.get(shard, float("-inf")) + LEASE
+        return self._reactor.seconds() < self._declined_until.get(shard, float("-inf"))
 
     def _is_candidate_now(self, shard: int, live_ids: list[str]) -> bool:
         """Whether it is this node's turn: the first live candidate's, as long as the shard gets a leader.
@@ -358,6 +364,6 @@
         if leader is None:
             return None
         leader.end()
-        self._released_at[arguments.shard] = self._reactor.seconds()
+        self.decline(arguments.shard, LEASE)
         self._log.info("shard_released", shard=arguments.shard, epoch=leader.epoch)
         return leader.epoch
--- a/packages/control/oakramp/control/platform_duty.py
+++ b/packages/control/oakramp/control/platform_duty.py
@@ -20,6 +20,7 @@
     DUTY_CALL_TIME_MOST,
     DUTY_LEASE_LEFT,
     DUTY_LEASE_POLL,
+    DUTY_OFFER_AFTER,
     DUTY_RATE_SHARE,
     DUTY_RECENT,
     DUTY_ROUND,
@@ -36,6 +37,7 @@
     from oakramp.common.duty_request import DutyForm, DutyRequest
     from oakramp.common.http_client import HttpClient
     from oakramp.common.metrics import Metrics
+    from oakramp.control.duty_hand_over import DutyHandOver
     from oakramp.control.leader_registry import LeaderRegistry
     from oakramp.control.shard_leader import ShardLeader
     from oakramp.gossip.node import Node
@@ -86,10 +88,11 @@
     Other nodes' calls are not known here; so a node keeps to a share of the platform's rate.
     """
 
-    def __init__(self, node: Node, form: DutyForm, metrics: Metrics) -> None:
+    def __init__(self, node: Node, form: DutyForm, metrics: Metrics, hand_over: DutyHandOver) -> None:
         env = node.env
         self._reactor = node.reactor
         self._bind_host = env["http"].rpartition(":")[0]
+        self.hand_over = hand_over
         self._form = form
         self._metrics = metrics
         self._holder = env["machine"]
@@ -166,12 +169,14 @@
         self._acted_at = self._acted_before = node.reactor.seconds()
         self._failures = 0
         self._retry_at = float("-inf")
+        self._unreachable_since: float | None = None
 
     async def _round(self) -> None:
         leader = self._owners.active.get(self._shard)
         if leader is not None and leader is not self._known_leader:
             self._failures, self._retry_at = 0, float("-inf")
             self._acted_before = self._acted_at
+            self._unreachable_since = None
             self._node.log.info("duty_holder_began", duty=self._key, epoch=leader.epoch)
         self._known_leader = leader
         await super()._round()
@@ -223,8 +228,20 @@
         except OakrampError as error:
             outcome, reason = outcome_of_error(error), error.reason
         self._note(leader, outcome, reason)
+        if self._is_cut_off(outcome):
+            await self._caller.hand_over.offer(leader.shard)
         return outcome
 
+    def _is_cut_off(self, outcome: DutyOutcome) -> bool:
+        """Whether for some time now no connection to the platform could be made, so that others should try."""
+        if outcome is not DutyOutcome.UNREACHABLE:
+            self._unreachable_since = None
+            return False
+        now = self._node.reactor.seconds()
+        if self._unreachable_since is None:
+            self._unreachable_since = now
+        return now - self._unreachable_since >= DUTY_OFFER_AFTER
+
     def _time_left(self) -> float:
         """Seconds for the answer: more after calls that came to nothing, as the platform may be slow."""
         return min(DUTY_CALL_TIME_MOST, DUTY_CALL_TIME * 2 ** min(self._failures, 8))
--- a/packages/rpc/oakramp/rpc/messages.py
+++ b/packages/rpc/oakramp/rpc/messages.py
@@ -381,6 +381,15 @@
     default_spec = [("leases", None), ("owner", None), ("voting_config_version", None)]
 
 
+class dutyTake_args(TPayload):
+    """Struct `dutyTake_args`; messages.thrift says what is in it."""
+
+    thrift_spec = {
+        1: (8, "shard", False),
+    }
+    default_spec = [("shard", None)]
+
+
 class imagePart_args(TPayload):
     """Struct `imagePart_args`; messages.thrift says what is in it."""
 
@@ -669,6 +678,15 @@
     default_spec = [("success", None)]
 
 
+class dutyTake_result(TPayload):
+    """Struct `dutyTake_result`; messages.thrift says what is in it."""
+
+    thrift_spec = {
+        0: (2, "success", False),
+    }
+    default_spec = [("success", None)]
+
+
 class imagePart_result(TPayload):
     """Struct `imagePart_result`; messages.thrift says what is in it."""
 
@@ -889,6 +907,7 @@
     "accept": accept_args,
     "acceptMany": acceptMany_args,
     "confirm": confirm_args,
+    "dutyTake": dutyTake_args,
     "imagePart": imagePart_args,
     "lineBuckets": lineBuckets_args,
     "lineDigests": lineDigests_args,
@@ -920,6 +939,7 @@
     "accept": accept_result,
     "acceptMany": acceptMany_result,
     "confirm": confirm_result,
+    "dutyTake": dutyTake_result,
     "imagePart": imagePart_result,
     "lineBuckets": lineBuckets_result,
     "lineDigests": lineDigests_result,
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1900,4 +1900,25 @@
         'self._acted_at = self._acted_before = float("-inf")',
         "test_duties.Fences.test_a_process_that_has_just_started_may_have_acted_lately",
     ),
+    CodeMutation(
+        "a holder that cannot reach the platform offers the duty",
+        "control/oakramp/control/platform_duty.py",
+        "        if self._is_cut_off(outcome):",
+        "        if False:",
+        "test_duties_fleet.Fleet.test_a_holder_that_alone_does_not_reach_the_platform_hands_the_duty_over",
+    ),
+    CodeMutation(
+        "who has handed a duty over does not ask for it back at once",
+        "control/oakramp/control/duty_hand_over.py",
+        "self._leaders.failover.decline(shard, DUTY_DECLINED)",
+        "pass",
+        "test_duties_fleet.Fleet.test_a_holder_that_alone_does_not_reach_the_platform_hands_the_duty_over",
+    ),
+    CodeMutation(
+        "only who reaches the platform takes a duty over",
+        "control/oakramp/control/duty_hand_over.py",
+        'await self._client.probe(self._node.env["platform"], DUTY_PROBE_TIME)',
+        "pass",
+        "test_duties_fleet.Fleet.test_a_duty_stays_where_it_is_if_nobody_reaches_the_platform",
+    ),
 ]
--- a/tests/test_duties_fleet.py
+++ b/tests/test_duties_fleet.py
@@ -13,7 +13,7 @@
 from oakramp.common.http_client import HttpClient
 from oakramp.common.tasks import sleep, spawn
 from oakramp.control import usage
-from relay_fleet import RelayFleet
+from relay_fleet import PLATFORM, RelayFleet
 
 KEY = usage.USAGE_KEY
 
@@ -158,6 +158,29 @@
             self.assertGreater(row["heldFor"], 5.0)
             self.assertLess(row["deliveredAge"], 6.0)
 
+    def cut_from_platform(self, machines):
+        ip = PLATFORM.partition(":")[0]
+        pairs = {(machine.host.address, ip) for machine in machines}
+        self.fleet.network.hold(pairs | {pair[::-1] for pair in pairs})
+
+    def test_a_holder_that_alone_does_not_reach_the_platform_hands_the_duty_over(self):
+        fleet = self.fleet
+        fleet.run(15)
+        former = self.last_actor()
+        self.cut_from_platform([former])
+        fleet.run(30)
+        self.assertNotEqual(self.last_actor(), former)
+        self.assertGreaterEqual(len(self.check(10.0)), 7)
+        self.assertEqual(len({call.fence for call in self.calls.arrivals}), 2)
+
+    def test_a_duty_stays_where_it_is_if_nobody_reaches_the_platform(self):
+        fleet = self.fleet
+        fleet.run(15)
+        self.cut_from_platform(fleet.of_kind("core"))
+        before = sum("event=duty_holder_began" in line for line in fleet.lines)
+        fleet.run(20)
+        self.assertEqual(sum("event=duty_holder_began" in line for line in fleet.lines), before)
+
     def test_a_platform_that_answers_late_is_not_asked_in_vain(self):
         fleet = self.fleet
         fleet.run(15)
