--- a/deploy/compile_sources.py
+++ b/deploy/compile_sources.py
@@ -6,6 +6,7 @@
 import shutil
 import sys
 
+sys.dont_write_bytecode = True  # the build writes below target/ only
 sys.path.append(os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "platform"))
 
 from byte_code import COMPILED, FOLDERS, place_of  # noqa: E402
