--- a/packages/control/oakramp/control/replica_sizing.py
+++ b/packages/control/oakramp/control/replica_sizing.py
@@ -21,7 +21,7 @@
 DEMAND_GAP = 5.0  # s; without known demand, after which the past counts for nothing
 STABILIZATION = 60.0  # s; whose highest demand counts when scaling in
 ROUNDING = 1e-9  # of a replica; what floating point adds to a whole number asks for no other
-SCALE_IN_PAUSE = 15.0  # s; in which orders and list have not changed, before a replica is taken out
+SCALE_IN_PAUSE = 5.0  # s; and two starts of a replica; orders and list stand for so long before one is taken out
 
 
 @dataclass(frozen=True)
@@ -102,7 +102,7 @@
         forecast = self._forecast(now, replica_range.boot_s)
         if _replicas_for(forecast, target * (1 + DEAD_BAND)) > sum(counts.values()):
             _scale_out(counts, _replicas_for(forecast, target), replica_range.most)
-        elif self._may_scale_in(now, target, sum(counts.values())):
+        elif self._may_scale_in(now, target, sum(counts.values()), replica_range.boot_s):
             _scale_in(counts, zones, replica_range.least)
         return {
             zone: count
@@ -111,9 +111,9 @@
             and (zones[zone].ordered is not None or count != replica_range.clamp(zones[zone].standing))
         }
 
-    def _may_scale_in(self, now: float, target: float, total: int) -> bool:
+    def _may_scale_in(self, now: float, target: float, total: int, boot_s: float) -> bool:
         """Whether one replica fewer has been enough for the whole stabilization window."""
-        if now - self._known_since < STABILIZATION or now - self._changed_at < SCALE_IN_PAUSE:
+        if now - self._known_since < STABILIZATION or now - self._changed_at < max(SCALE_IN_PAUSE, 2 * boot_s):
             return False
         highest = max(level for _, level in self._levels)
         return total > max(1, _replicas_for(highest, target * (1 - DEAD_BAND)))
--- a/packages/testbed/oakramp/testbed/main.py
+++ b/packages/testbed/oakramp/testbed/main.py
@@ -27,6 +27,7 @@
 from oakramp.testbed.realtrial import RealTrial, rolling_restart
 from oakramp.testbed.rush import POLICIES, Scene, play
 from oakramp.testbed.rush_plot import plot
+from oakramp.testbed.rush_sizing import ORDER_POLICIES, SIZING_SCENES, play_orders
 from oakramp.testbed.trial import DAYS, run_day, run_trial
 
 RUSH_RATES = (8, 16, 24, 32, 40, 48, 64, 96)  # programs a second; the replicas of the model serve some 38 in time
@@ -258,6 +259,19 @@
         plot_file.write(plot(rates, earned))
 
 
+@main.command("rush-orders")
+@click.option("--seeds", default=3, show_default=True)
+def rush_orders(seeds):
+    """What orders of replicas earn and cost: share of programs' worth earned, and replica-seconds paid."""
+    for what, scene in SIZING_SCENES.items():
+        for policy in ORDER_POLICIES:
+            sites = [play_orders(policy, scene, seed) for seed in range(seeds)]
+            earned = sum(site.earned() for site in sites) / seeds
+            paid = sum(site.replica_seconds for site in sites) / seeds
+            calls = sum(site.changes for site in sites) / seeds
+            click.echo(f"{what:8} {policy:8} earned {earned:.3f}  replica-seconds {paid:6.0f}  orders {calls:4.1f}")
+
+
 @main.command()
 @click.argument("name", required=False)
 @click.option("--into", type=click.Path(exists=False), help="The folder of the variant; it must not exist.")
--- a/packages/testbed/oakramp/testbed/rush.py
+++ b/packages/testbed/oakramp/testbed/rush.py
@@ -49,6 +49,12 @@
 POLICIES: Registry = Registry("policy")
 
 
+def replica_row(name: str, zone: str, state: str = "ready") -> bytes:
+    """A replica as gateways have it listed."""
+    row = {"id": name, "address": "10.1.0.1:80", "pool": SERVICE, "state": state, "zone": zone}
+    return pack_json(row | {"slots": ENGINE.berths})
+
+
 @dataclass(frozen=True)
 class Scene:
     """Programs that begin a second, on average, and in a rush from `rush_from` to `rush_to` (seconds)."""
@@ -98,19 +104,7 @@
 
     def _gateway(self, number: int) -> Any:
         state_table = StateTable(self.reactor)
-        rows = {
-            name: pack_json(
-                {
-                    "id": name,
-                    "address": "10.1.0.1:80",
-                    "pool": SERVICE,
-                    "state": "ready",
-                    "zone": ZONES[place % len(ZONES)],
-                    "slots": ENGINE.berths,
-                }
-            )
-            for place, name in enumerate(self.engines)
-        }
+        rows = {name: replica_row(name, ZONES[place % len(ZONES)]) for place, name in enumerate(self.engines)}
         node = SimpleNamespace(
             reactor=self.reactor,
             state_table=state_table,
@@ -121,7 +115,7 @@
         )
         balancer = Balancer(node, self.log)
         state_table.set_items(REPLICAS_KEY, 1, rows)
-        return SimpleNamespace(balancer=balancer, programs=Programs())
+        return SimpleNamespace(balancer=balancer, programs=Programs(), state_table=state_table)
 
     # --- load ---
 
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -13,6 +13,7 @@
 
 from oakramp.testbed.rush import Scene, play
 from oakramp.testbed.rush_plot import plot
+from oakramp.testbed.rush_sizing import SIZING_SCENES, play_orders
 
 
 class Policies(unittest.TestCase):
@@ -67,5 +68,21 @@
         self.assertEqual(len(lines), 2 + 2, "two axes, two policies")
 
 
+class Orders(unittest.TestCase):
+    """Replicas ordered by demand earn nearly all that the most of them would, and are fewer."""
+
+    def test_a_rush(self):
+        scene = SIZING_SCENES["a rush"]
+        never, most, demand = (play_orders(policy, scene, 1) for policy in ("never", "most", "demand"))
+        self.assertGreater(demand.earned(), never.earned() + 0.7 * (most.earned() - never.earned()))
+        self.assertLess(demand.replica_seconds, 0.8 * most.replica_seconds)
+
+    def test_calm(self):
+        scene = SIZING_SCENES["calm"]
+        never, demand = (play_orders(policy, scene, 1) for policy in ("never", "demand"))
+        self.assertGreater(demand.earned(), never.earned() - 0.01)
+        self.assertLess(demand.replica_seconds, 0.8 * never.replica_seconds)
+
+
 if __name__ == "__main__":
     unittest.main()
