--- a/tests/test_replica_orders.py
+++ b/tests/test_replica_orders.py
@@ -5,6 +5,7 @@
 """
 
 import json
+import random
 import unittest
 from collections import Counter
 
@@ -31,6 +32,7 @@
     ServiceSizing,
     ZoneReplicas,
 )
+from oakramp.control.shards import shard_of_key
 from oakramp.control.transaction import Transaction
 from relay_fleet import ZONES, RelayFleet
 
@@ -441,6 +443,46 @@
         self.assertEqual(self.calls.told, told)
         self.check()
 
+    def trouble(self, chooser):
+        """Some seconds of one fault, at whoever acted last or at the platform, and another demand meanwhile."""
+        fleet, calls = self.fleet, self.calls
+        name = calls.arrivals[-1].holder if calls.arrivals else "core0"
+        kind = chooser.choice(("kill", "freeze", "slow", "down"))
+        if kind == "kill":
+            fleet[name].kill()
+        elif kind == "freeze":
+            fleet[name].freeze()
+        elif kind == "slow":
+            calls.delay_s = chooser.uniform(0.5, 3.0)
+        else:
+            calls.status = 503
+        self.demand = chooser.randint(1, 8)
+        fleet.run(chooser.uniform(1.0, 8.0))
+        calls.delay_s, calls.status = 0.0, 200
+        if kind == "kill":
+            fleet[name].start()
+        elif kind == "freeze":
+            fleet[name].thaw()
+        fleet.run(chooser.uniform(1.0, 6.0))
+
+    def test_whatever_fails_the_platform_ends_with_the_numbers_that_are_replicated(self):
+        ordered = 0
+        for seed in range(4):
+            fleet, chooser = self.set_up(), random.Random(f"orders/{seed}")
+            fleet.run(12)
+            for _ in range(5):
+                self.trouble(chooser)
+            fleet.run(15)
+            self.check()
+            leaders = [core.node.leaders.active.get(shard_of_key(KEY)) for core in fleet.of_kind("core")]
+            leader = max((one for one in leaders if one), key=lambda one: one.epoch)
+            rows = orders_in(leader.entries)
+            self.assertEqual({zone: row["count"] for (_, zone), row in rows.items()}, self.calls.told, seed)
+            self.assertTrue(all(row["accepted"] for row in rows.values()), seed)
+            self.assertTrue(all(1 <= count <= 4 for _, count in self.calls.orders()))
+            ordered += len(self.calls.arrivals)
+        self.assertGreater(ordered, 12)
+
     def test_an_outage_of_the_platform_is_made_up_for(self):
         fleet = self.set_up()
         fleet.run(15)
