--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -403,8 +403,18 @@
 FREEZE_POLL = 0.1  # s; how often a process notes that it runs
 CLOCK_SAMPLE = 1.0  # s; between two looks at the wall clock
 CLOCK_SAMPLES = 60  # looks; whose median counts, so that a jump shorter than half a minute is not seen
+CLOCK_VOICES_LEAST = 3  # machines; whose median outvotes one that is wrong
+CLOCK_VOICE_AGE = 5.0  # s; after which a machine that was silent has no say in the median
+CLOCK_DIFFERENCE = 1.0  # s; from the fleet's time, within which a machine keeps to its own; what took longer to come
+# tells nothing
+CLOCK_MEMORY = 60.0  # s; for which the fleet's time is kept while none is told: a machine's own is steady by then
 USAGE_GRACE = 2.5  # s; after a window's end for gateways' last counts, well within what a report may be late
 USAGE_WINDOWS_KEPT = 720  # windows; reported after an outage, an hour of five-second ones
 USAGE_OWED_SHOWN = 16  # windows; named in the operators' view, the oldest first
 USAGE_REPORT_PAUSE = 1.0  # s; between two reports of a gateway's counts: what a killed gateway may take with it
+USAGE_SILENCE = 2  # report pauses; after which a gateway that has nothing new reports again, so that its clock is known
+# to a new leader within USAGE_GRACE
+USAGE_CLOCKS_SETTLE = 1.5  # s; of a leadership, in which gateways' first times may have waited for a leader to tell
+USAGE_HELD = 3.0  # s; for which a gateway's first requests wait for the fleet's time while no settled leader answers;
+# a new leader closes nothing for nearly as long
 USAGE_REPORT_TIME = 2.0  # s; for one report, before the next one has it all again
--- a/packages/common/oakramp/common/wall_clock.py
+++ b/packages/common/oakramp/common/wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall time that a jump of the machine's clock does not move."""
+"""Wall time that a jump of one machine's clock does not move."""
 
 from __future__ import annotations
 
@@ -7,7 +7,15 @@
 from statistics import median
 from typing import Any
 
-from oakramp.common.constants import CLOCK_SAMPLE, CLOCK_SAMPLES
+from oakramp.common.constants import (
+    CLOCK_DIFFERENCE,
+    CLOCK_MEMORY,
+    CLOCK_SAMPLE,
+    CLOCK_SAMPLES,
+    CLOCK_VOICE_AGE,
+    CLOCK_VOICES_LEAST,
+    REPORT_GATES,
+)
 from oakramp.common.tasks import Repeater
 
 
@@ -47,6 +55,58 @@
         self.sample()
 
 
+class ClockVoices:
+    """What machines say of wall time, as the node has heard it that decides for them.
+
+    Invariant: `_voices` has, by machine, when it was last heard and the distance of its wall time to the monotonic time
+    here; of REPORT_GATES machines at most.
+    """
+
+    def __init__(self) -> None:
+        self._voices: dict[str, tuple[float, float]] = {}
+
+    def hear(self, machine: str, wall: float, now: float) -> None:
+        """This machine's wall time is `wall`, at monotonic time `now` here."""
+        if machine in self._voices or len(self._voices) < REPORT_GATES:
+            self._voices[machine] = now, wall - now
+
+    def time(self, now: float) -> float | None:
+        """The median wall time at monotonic time `now`; None while fewer than CLOCK_VOICES_LEAST were heard lately."""
+        for machine in [machine for machine, (at, _) in self._voices.items() if now - at > CLOCK_VOICE_AGE]:
+            del self._voices[machine]
+        if len(self._voices) < CLOCK_VOICES_LEAST:
+            return None
+        return now + median(offset for _, offset in self._voices.values())
+
+
+class FleetClock:
+    """A machine's own steady wall time, or the fleet's once the two differ by more than CLOCK_DIFFERENCE.
+
+    Invariant: `_offset` is the distance of the fleet's wall time to monotonic time as it was told at `_told_at`.
+    """
+
+    def __init__(self, reactor: Any, own: SteadyWallClock) -> None:
+        self._reactor, self._own = reactor, own
+        self._offset, self._told_at = 0.0, float("-inf")
+
+    def hear(self, wall: float) -> None:
+        """The fleet's wall time is this now."""
+        self._told_at = self._reactor.seconds()
+        self._offset = wall - self._told_at
+
+    def is_told(self) -> bool:
+        """Whether the fleet's wall time is known."""
+        return self._reactor.seconds() <= self._told_at + CLOCK_MEMORY
+
+    def now(self) -> float:
+        """Seconds since the start of 1970."""
+        own = self._own.now()
+        if not self.is_told():
+            return own
+        fleet = self._reactor.seconds() + self._offset
+        return own if abs(fleet - own) <= CLOCK_DIFFERENCE else fleet
+
+
 def window_at(seconds: float, window_s: float) -> int:
     """The number of the window in which this wall time lies; window k begins k * window_s after the start of 1970."""
     return int(seconds // window_s)
--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -9,6 +9,8 @@
 - a window is closed once: `next` only rises, and the totals of a closed window never change;
 - a count is in its window's total, or came after the close and is dropped;
 - counts are a gateway's whole sum for the window, so that one that is repeated or overtaken changes nothing.
+
+What gateways tell of wall time is not replicated: it stands in the leadership's marks, and is soon told anew.
 """
 
 from __future__ import annotations
@@ -16,11 +18,12 @@
 from collections import Counter
 from typing import Any
 
-from schema import And
+from schema import And, Optional
 
-from oakramp.common.constants import USAGE_OWED_SHOWN, USAGE_WINDOWS_KEPT
+from oakramp.common.constants import USAGE_CLOCKS_SETTLE, USAGE_OWED_SHOWN, USAGE_WINDOWS_KEPT
 from oakramp.common.errors import BadRequestError
-from oakramp.common.validation import check_fields, whole
+from oakramp.common.validation import check_fields, seconds, whole
+from oakramp.common.wall_clock import ClockVoices
 from oakramp.control.controllers import CONTROLLERS, Controller
 from oakramp.control.transaction import Transaction
 
@@ -28,8 +31,15 @@
 COUNT_ROWS, WINDOW_ROWS = f"{USAGE_KEY}#count/", f"{USAGE_KEY}#window/"
 NUMBER_LIMIT = 1 << 53
 WINDOW = whole(0, 10**12 - 1)
+WALL_TIME_LIMIT = 1e12  # s
+CLOCKS_MARK = "clocks of gateways"
 GATEWAY: Any = And(str, len, error="must be a gateway's node id")
-COUNT = {"gateway": GATEWAY, "number": whole(0, NUMBER_LIMIT), "windows": dict}
+COUNT = {
+    "gateway": GATEWAY,
+    "number": whole(0, NUMBER_LIMIT),
+    "windows": dict,
+    Optional("time"): seconds(0, WALL_TIME_LIMIT),
+}
 CLOSE = {"through": WINDOW, "current": WINDOW}
 
 
@@ -48,24 +58,38 @@
     return int(row.split("/")[1])
 
 
+def clocks_in(marks: dict[str, Any]) -> ClockVoices:
+    """The clocks of the machines that this leadership has heard of."""
+    clocks: ClockVoices = marks.setdefault(CLOCKS_MARK, ClockVoices())
+    return clocks
+
+
 def _count(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
     """Takes what a gateway has counted so far in windows that are not closed.
 
-    `number` rises from one message of a gateway to its next; `windows` maps a window's number to counts by tenant.
+    `number` rises from one message of a gateway to its next; `windows` maps a window's number to counts by tenant;
+    `time` is the gateway's own wall time in seconds, left out by earlier releases.
 
     Returns:
-        {next}: counts of windows before it are not wanted any more; 0 while no window is open yet.
+        {next, time, settled}: counts of windows before `next` are not wanted any more; 0 while no window is open yet.
+        `time` is the fleet's wall time, None while too few machines tell theirs, or, with `settled` unset, while this
+        leadership has just begun.
     """
     check_fields(COUNT, arguments)
     windows = {_window(text): _checked(counts) for text, counts in arguments["windows"].items()}
-    transaction.context.age_of(key)
+    context = transaction.context
+    is_settled = context.age_of(key) >= USAGE_CLOCKS_SETTLE
+    clocks = clocks_in(context.marks)
+    if "time" in arguments:
+        clocks.hear(arguments["gateway"], arguments["time"], context.now)
+    answer = {"time": clocks.time(context.now) if is_settled else None, "settled": is_settled}
     head = transaction.get(key)
     if head is None:
-        return {"next": 0}
+        return answer | {"next": 0}
     for window, counts in windows.items():
         if head["next"] <= window <= head["next"] + USAGE_WINDOWS_KEPT:
             _put_count(transaction, count_row(window, arguments["gateway"]), arguments["number"], counts)
-    return {"next": head["next"]}
+    return answer | {"next": head["next"]}
 
 
 def _put_count(transaction: Transaction, row: str, number: int, counts: dict[str, int]) -> None:
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -9,7 +9,7 @@
 from oakramp.control.platform_duty import DutyCaller, DutyOutcome, PlatformDuty
 from oakramp.control.shards import shard_of_key
 from oakramp.control.singleton_task import SingletonTask
-from oakramp.control.usage import USAGE_KEY, WINDOW_ROWS
+from oakramp.control.usage import USAGE_KEY, WINDOW_ROWS, clocks_in
 
 if TYPE_CHECKING:
     from oakramp.common.duty_request import DutyForm
@@ -29,7 +29,8 @@
 class UsageWindowsTask(SingletonTask):
     """Closes each window USAGE_GRACE after its end, whether or not the platform can be reached.
 
-    A new leader closes nothing for as long: gateways could not tell their last counts while the shard had no leader.
+    A new leader closes nothing for as long: gateways could not tell their last counts while the shard had no leader,
+    nor what their clocks say. The first window ever is the one in which that leader began.
 
     Invariant: `_closed` is the leader and the last window that it was asked to close.
     """
@@ -41,19 +42,27 @@
         self._closed: tuple[ShardLeader | None, int] = (None, 0)
 
     async def _work(self, leader: ShardLeader) -> None:
-        is_new = self._node.reactor.seconds() < leader.serves_since + USAGE_GRACE
-        if is_new and USAGE_KEY in leader.entries:
+        now = self._fleet_time(leader)
+        led_for = self._node.reactor.seconds() - leader.serves_since
+        if led_for < USAGE_GRACE:
             return
-        now = self._clock.now()
         through = window_at(now - USAGE_GRACE, self._window_s) - 1
         if self._closed == (leader, through):
             return
-        current = window_at(now, self._window_s)
+        current = window_at(now - led_for, self._window_s)
         result = await leader.do(USAGE_KEY, "close", {"through": through, "current": current})
         self._closed = leader, through
         if result["closed"]:
             self._node.log.debug("usage_window_closed", window=through, closed=result["closed"], epoch=leader.epoch)
 
+    def _fleet_time(self, leader: ShardLeader) -> float:
+        """The median wall time of this node and the gateways; its own while they are too few."""
+        now, own = self._node.reactor.seconds(), self._clock.now()
+        clocks = clocks_in(leader.marks)
+        clocks.hear(self._node.node_id, own, now)
+        fleet = clocks.time(now)
+        return own if fleet is None else fleet
+
 
 class UsageReportTask(PlatformDuty):
     """Reports closed windows, the oldest first, one at a time."""
