--- a/packages/rpc/oakramp/rpc/endpoint.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -10,6 +10,7 @@
 from typing import NamedTuple
 
 from twisted.internet import defer, protocol
+from twisted.internet.endpoints import TCP4ClientEndpoint
 
 from oakramp.common.constants import (
     ACCEPT_LIMIT,
@@ -300,6 +301,16 @@
         return connection
 
 
+class _Dialler(protocol.Factory):
+    noisy = False
+
+    def __init__(self, net):
+        self._net = net
+
+    def buildProtocol(self, _address):
+        return Connection(self._net)
+
+
 class RpcEndpoint:
     """All peer connections of one node. `_links` holds at most one dialled connection for an address,
     as the Deferred of a Connection; a dead one is replaced by the next call, and one that has fallen silent as soon as
@@ -439,9 +450,10 @@
         host, port = split_address(address)
 
         def begin_attempt(seconds):
-            # Twisted's endpoints would stand between each connection and its socket.
-            dialler = protocol.ClientCreator(self.reactor, Connection, self)
-            return dialler.connectTCP(host, port, timeout=seconds, bindAddress=(split_address(self.address)[0], 0))
+            endpoint = TCP4ClientEndpoint(
+                self.reactor, host, port, timeout=seconds, bindAddress=(split_address(self.address)[0], 0)
+            )
+            return endpoint.connect(_Dialler(self))
 
         connection = await HedgedDial(self.reactor, begin_attempt, CONNECT_TIME).start()
         await connection.ready
