--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -17,6 +17,7 @@
 from oakramp.common.tasks import Repeater, settled, sleep, spawn
 from oakramp.gossip.version_exchange import ReceivedVector, SentVector
 from oakramp.membership.members import LEAVING_STATE, Member
+from oakramp.membership.rendezvous_hashing import ranked
 from oakramp.rpc.codec import idl
 
 NODE_SOURCE = "node/"
@@ -182,18 +183,29 @@
         self._refresh()
         self._rounds += 1
         addresses = self._peers_now()
-        # One more place each few rounds: it joins a new node and heals what a cut has parted.
-        others = [
-            address for address in {*self._seeds, *self._identity.addresses} - addresses if address != self._me.peer
-        ]
-        if others and (not addresses or self._rounds % 5 == 0):
-            # In turn, so that each seed is asked often enough to tell whether it answers.
-            addresses |= set(others) if not addresses else {sorted(others)[self._rounds // 5 % len(others)]}
+        addresses |= self._entries_now(addresses)
         if self._piggyback is not None:
             self._piggyback.begin_round()
         for address in sorted(addresses - self._pulling):
             spawn(self._pull_from(address), self._log)
 
+    def _entries_now(self, peers):
+        """Addresses of seeds and of former control nodes to pull from in this round, beside these peers.
+
+        One each few rounds heals what a partition has parted. Who has no peers yet asks one in each round, in an order
+        of its own: each answer holds the rows of all nodes, and of hundreds that start at once every one would get it
+        from every seed. Control nodes, which are few and wait for a majority, ask all.
+        """
+        others = sorted({*self._seeds, *self._identity.addresses} - peers - {self._me.peer})
+        if not others or (peers and self._rounds % OTHER_PEERS_ROUNDS):
+            return set()
+        if peers:
+            # In turn, so that each seed is asked often enough to tell whether it answers.
+            return {others[self._rounds // OTHER_PEERS_ROUNDS % len(others)]}
+        if self._me.kind == "control":
+            return set(others)
+        return {ranked(others, self._me.node_id)[self._rounds % len(others)]}
+
     def _peers_now(self):
         """Addresses of the peers to pull from in this round.
 
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1431,6 +1431,20 @@
         "[first, *self._queue.take_ready(CONTROL_BATCH - 1), *self._take_deferred()]",
         "test_deferred_commands.DeferredCommands.test_a_budget_that_a_deferred_settling_has_used_up_admits_nothing",
     ),
+    CodeMutation(
+        "who knows no member asks one seed at a time",
+        "gossip/oakramp/gossip/gossip_client.py",
+        "return {ranked(others, self._me.node_id)[self._rounds % len(others)]}",
+        "return set(others)",
+        "test_gossip_peers.Entries.test_a_gateway_without_peers_asks_one_in_each_round_and_all_in_turn",
+    ),
+    CodeMutation(
+        "nodes that start at once begin at different seeds",
+        "gossip/oakramp/gossip/gossip_client.py",
+        "return {ranked(others, self._me.node_id)[self._rounds % len(others)]}",
+        "return {others[self._rounds % len(others)]}",
+        "test_gossip_peers.Entries.test_gateways_that_start_at_once_begin_at_different_ones",
+    ),
     CodeMutation(
         "all peers are asked while a control node owes an answer",
         "gossip/oakramp/gossip/gossip_client.py",
