--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -142,6 +142,10 @@
 OPERATOR_ANSWER_AGE = 4.5  # s; an answer that is ready so long after its call was held up by a freeze: asking takes
 # OPERATOR_TIME at most, and the rest milliseconds
 OPERATOR_RETRY = 0.2  # s; what an operator is told to wait: a slot changes hands in a few of these
+OPERATOR_SLOW = 0.5  # s; a command of an operator that takes longer is told with all who were asked: they take
+# milliseconds
+REPLICATION_SLOW = 0.5  # s; the same for a write to a majority, with the voters that did not have it by then
+HELD_UP = 0.5  # s; a round of gossip that is late by more is told: the process was frozen, or had no processor
 MAJORITY_DOUBT = 0.1  # s; an operator's order without an answer for so long sets off the question whether a majority
 # answers at all: owners answer in milliseconds
 MAJORITY_WAIT = 0.35  # s; for that question's answers, so that one that is cut off says so within half a second
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -135,6 +135,10 @@
         elif error is not None and not self._voting_config.is_quorum(self._taken_by | self._pending):
             self.outcome.callback((False, dict(self._errors)))
 
+    def without(self):
+        """Node ids of the voters that have not confirmed the change, in order."""
+        return sorted(self._voting_config.everyone.keys() - self._taken_by)
+
     def give_up(self, node_id, error):
         """Nothing can come of it any more, whatever the others will say."""
         if not self.outcome.called:
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -9,6 +9,7 @@
     MAJORITY_DOUBT,
     MAJORITY_WAIT,
     OPERATOR_RETRY,
+    OPERATOR_SLOW,
     OWNER_TRIES_PAUSE,
     OWNER_TRY_TIME,
     SETTLE_TIME,
@@ -22,6 +23,7 @@
 )
 from oakramp.common.tasks import begin, shielded, sleep, spawn
 from oakramp.common.validation import pack_json
+from oakramp.control.call_trail import ANSWERED, CallTrail
 from oakramp.control.controllers import SHARD_SOURCE
 from oakramp.control.leader_changes import LeaderChangeWatch
 from oakramp.control.quorum_contact import answers_now
@@ -59,9 +61,22 @@
             except (OutcomeUnknownError, QuorumUnavailableError) as error:
                 self._node.log.warning("command_outcome_late", key=key, command=command, reason=error.reason)
 
-    async def call(self, key, command, arguments, time_left):
+    async def _answer_of(self, shard, address, call, trail):
+        """The answer to a call that has left for this address, entered in the trail."""
+        asked_at = self._node.reactor.seconds()
+        try:
+            answer = await self._moves.answer_of(shard, address, call)
+        except OakrampError as error:
+            trail.note(address, asked_at, error.code)
+            raise
+        trail.note(address, asked_at, ANSWERED)
+        return json.loads(answer)
+
+    async def call(self, key, command, arguments, time_left, trail=None):
         """The leader's answer. Raises what the leader said, if it was asked once; OutcomeUnknownError if an ask left
-        and its outcome is not known; QuorumUnavailableError if no leader could be asked at all."""
+        and its outcome is not known; QuorumUnavailableError if no leader could be asked at all. Who is asked is entered
+        in the trail."""
+        trail = trail or CallTrail(self._node.reactor)
         reactor, shard = self._node.reactor, shard_of_key(key)
         ends_at = reactor.seconds() + time_left
         text, unsure, hint, tried, silent_until = pack_json(arguments).decode(), None, None, set(), {}
@@ -90,7 +105,7 @@
                         arguments_json=text,
                         onward=onward,
                     )
-                    return json.loads(await self._moves.answer_of(shard, address, call))
+                    return await self._answer_of(shard, address, call, trail)
                 except NotShardLeaderError as error:
                     hint = error.detail if error.detail not in tried | silent else None
                 except OakrampError as error:
@@ -125,9 +140,11 @@
     async def call(self, key, command, arguments, time_left):
         """Runs a command at the key's leader within `time_left` seconds, for an operator. Raises
         QuorumUnavailableError as soon as this node is known to reach no majority."""
-        asking = begin(self._client.call(key, command, arguments, time_left))
+        trail = CallTrail(self._node.reactor)
+        asking = begin(self._client.call(key, command, arguments, time_left, trail))
         waiting = shielded(asking)  # what is under way shares connections with other calls and ends by itself
         asking.addErrback(lambda _: None)
+        asking.addCallback(lambda _: self._tell_slow(key, command, trail))
         doubting = spawn(self._end_without_majority(waiting), self._node.log)
         try:
             return await waiting
@@ -139,6 +156,13 @@
         finally:
             doubting.cancel()
 
+    def _tell_slow(self, key, command, trail):
+        """Tells of a command that took long, also if its operator was answered before."""
+        if trail.seconds >= OPERATOR_SLOW:
+            self._node.log.info(
+                "operator_command_slow", key=key, command=command, took_s=round(trail.seconds, 3), asked=str(trail)
+            )
+
     async def _end_without_majority(self, waiting):
         pause = MAJORITY_DOUBT
         while True:
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.defer import Deferred
 
-from oakramp.common.constants import CALL_TIME, LEASE_RENEW
+from oakramp.common.constants import CALL_TIME, LEASE_RENEW, REPLICATION_SLOW
 from oakramp.common.errors import NotFoundError, OakrampError
 from oakramp.common.tasks import drive, sleep
 from oakramp.control.prepare_phase import is_moving
@@ -69,11 +69,14 @@
         Returns:
             whether a majority has it on disk, all under one voting configuration. If not, a minority may have it.
         """
-        ends_at = self._reactor.seconds() + CALL_TIME
+        began_at = self._reactor.seconds()
+        ends_at = began_at + CALL_TIME
         while True:
             voting_config = self._voter.voting_config
             change = ShardChange(leader, voting_config.version, sequence, changes, start)
-            reached, errors = await self._propose(Proposal(voting_config, ends_at), change, voting_config.everyone)
+            proposal = Proposal(voting_config, ends_at)
+            reached, errors = await self._propose(proposal, change, voting_config.everyone)
+            self._tell_slow(leader, proposal, began_at)
             if reached:
                 leader.voting_config_version = voting_config.version
                 return True
@@ -81,6 +84,17 @@
                 return False
             await sleep(self._reactor, RETRY_PAUSE)
 
+    def _tell_slow(self, leader: ShardLeader, proposal: Proposal, began_at: float) -> None:
+        took_s = self._reactor.seconds() - began_at
+        if took_s >= REPLICATION_SLOW:
+            self._node.log.info(
+                "replication_slow",
+                shard=leader.shard,
+                epoch=leader.epoch,
+                took_s=round(took_s, 3),
+                without=",".join(proposal.without()),
+            )
+
     async def update_voters(self) -> None:
         """Starts to update the voters that lack something."""
         if self._registry.active:
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -8,6 +8,7 @@
     CONDITION_AGE,
     FORGET_AGE,
     GOSSIP_CONTROL_PEER_COUNT,
+    HELD_UP,
     OTHER_PEERS_ROUNDS,
     PULL_PAUSE,
     PULL_TIME,
@@ -53,7 +54,7 @@
         self.on_contact = set()  # called, in any order, when a node answers or asks that had not done so lately
         self._told = {}  # address -> what it was told, if it keeps that
         self._heard = {}  # nodeId -> what this node was told
-        self._rounds = 0
+        self._rounds, self._round_at = 0, float("inf")  # when the last one began (monotonic seconds)
         self._repeater = None
         self._piggyback = self._voter = None
         state_table.publish(self._source, reactor.seconds)
@@ -167,6 +168,7 @@
 
     def start(self):
         """Starts the rounds of requests."""
+        self._round_at = self._reactor.seconds()
         self._repeater = Repeater(self._reactor, PULL_PAUSE, self._round, self._log).start()
 
     def stop(self):
@@ -179,7 +181,15 @@
         self.describe(replace(self._me, state=LEAVING_STATE))
         await sleep(self._reactor, 2 * PULL_PAUSE)
 
+    def _tell_held_up(self):
+        """Tells of a round that is late: a process that was frozen, or had no processor, answered nobody meanwhile."""
+        now = self._reactor.seconds()
+        late_s, self._round_at = now - self._round_at - PULL_PAUSE, now
+        if late_s > HELD_UP:
+            self._log.info("process_held_up", late_s=round(late_s, 3))
+
     async def _round(self):
+        self._tell_held_up()
         self._refresh()
         self._rounds += 1
         addresses = self._peers_now()
