--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -149,6 +149,7 @@
 MAJORITY_DOUBT = 0.1  # s; an operator's order without an answer for so long sets off the question whether a majority
 # answers at all: owners answer in milliseconds
 MAJORITY_WAIT = 0.35  # s; for that question's answers, so that one that is cut off says so within half a second
+MAJORITY_WAIT_MOST = 0.8  # s; the same where nodes answer late: with MAJORITY_DOUBT within an operator's second
 ROUTING_AGE = 1.5  # s; as for blueprints, unless the deployment's bounds say otherwise
 ROUTING_STRETCH = 3.5  # s; a take-over: for so long more a gateway without news calls itself ready, though it refuses
 ROUTING_AGE_POLL = 0.25  # s; how often a gateway looks whether its routing table is outdated, for its log only
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -7,7 +7,8 @@
     4xx  not taken and never will be: unreadable, invalid, an unknown machine, too few left
     503  no leader could be asked, what became of it is not known, or it may still be taken: to be repeated as it is, at
     any
-         node; within half a second, if no majority of the voting configuration answers this node
+         node; within half a second, if no majority of the voting configuration answers this node, and within a second
+         if its last answers took long
 
 An operator that moves on to another node leaves its call here under way. That does no harm: a change is taken once, by
 its fingerprint, and one built on a version that is past stays lost.
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -66,9 +66,14 @@
 
 
 async def answers_now(
-    node: Node, voter_addresses: dict[str, str], voting_config: VotingConfiguration, least_version: int = 0
+    node: Node,
+    voter_addresses: dict[str, str],
+    voting_config: VotingConfiguration,
+    least_version: int = 0,
+    wait_s: float = MAJORITY_WAIT,
 ) -> bool:
-    """Whether a majority answers within MAJORITY_WAIT and has this version of the voting configuration or a later one.
+    """Whether a majority answers within `wait_s` seconds and has this version of the voting configuration or a later
+    one.
 
     Args:
         voter_addresses: the address of each voter by node id.
@@ -76,13 +81,13 @@
     """
 
     async def ask(node_id: str, address: str) -> None:
-        version = await node.net.call(address, "rosterVersion", MAJORITY_WAIT, to=node_id)
+        version = await node.net.call(address, "rosterVersion", wait_s, to=node_id)
         if version < least_version:
             raise QuorumUnavailableError(f"{node_id} stands in version {version} yet")
 
     works = {node_id: ask(node_id, address) for node_id, address in voter_addresses.items()}
     try:
-        reached, _ = await within(node.reactor, MAJORITY_WAIT, quorum_of(works, voting_config.is_quorum))
+        reached, _ = await within(node.reactor, wait_s, quorum_of(works, voting_config.is_quorum))
     except DeadlineExceededError:
         return False
     return reached
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -8,6 +8,7 @@
     LEASE,
     MAJORITY_DOUBT,
     MAJORITY_WAIT,
+    MAJORITY_WAIT_MOST,
     OPERATOR_RETRY,
     OPERATOR_SLOW,
     OWNER_TRIES_PAUSE,
@@ -174,6 +175,13 @@
 
     async def _reaches_majority(self):
         voting_config = self._voter.voting_config
-        return voting_config is not None and await answers_now(
-            self._node, self._owners.voter_addresses(), voting_config
-        )
+        if voting_config is None:
+            return False
+        addresses = self._owners.voter_addresses()
+        return await answers_now(self._node, addresses, voting_config, wait_s=self._majority_wait(addresses))
+
+    def _majority_wait(self, voter_addresses):
+        """Seconds until who has not answered counts as out of reach: twice what a majority took to answer its last
+        gossip requests. Refused for answers that are only late, an order would get none at any node."""
+        took = sorted(self._node.gossip_client.last_answer_took(address) for address in voter_addresses.values())
+        return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -25,10 +25,11 @@
 
 
 class LastAnswer(NamedTuple):
-    """Who answered at an address last, and when it had been asked (monotonic seconds)."""
+    """Who answered at an address last, when it had been asked (monotonic seconds), and how many seconds it took."""
 
     node_id: str
     asked_at: float
+    took_s: float
 
 
 def _call_all(callbacks):
@@ -280,7 +281,7 @@
     def _note_answer(self, address, asked_at):
         node_id = self._net.node_at(address)
         is_new_contact = not self.is_answered_by(node_id, address)
-        self._answers[address] = LastAnswer(node_id, asked_at)
+        self._answers[address] = LastAnswer(node_id, asked_at, self._reactor.seconds() - asked_at)
         if is_new_contact:
             _call_all(self.on_contact)
         _call_all(self.on_answer)
@@ -313,6 +314,11 @@
         answer = self._answers.get(address)
         return address == self._me.peer or self._is_within(answer and answer.asked_at, lately)
 
+    def last_answer_took(self, address):
+        """Seconds that the last answer from this address took; 0 if it has never answered."""
+        answer = self._answers.get(address)
+        return 0.0 if answer is None else answer.took_s
+
     def is_answered_by(self, node_id, address, lately=CONDITION_AGE):
         """Whether this very node has itself answered at the address: after a lost disk another one is there."""
         if node_id == self._me.node_id:
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1431,6 +1431,20 @@
         "[first, *self._queue.take_ready(CONTROL_BATCH - 1), *self._take_deferred()]",
         "test_deferred_commands.DeferredCommands.test_a_budget_that_a_deferred_settling_has_used_up_admits_nothing",
     ),
+    CodeMutation(
+        "a majority that answers late is reached",
+        "control/oakramp/control/shard_client.py",
+        "return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))",
+        "return MAJORITY_WAIT",
+        "test_slow_majority.SlowMajority.test_each_node_acknowledges_an_order",
+    ),
+    CodeMutation(
+        "who reaches no majority says so to an operator at once",
+        "control/oakramp/control/shard_client.py",
+        "return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))",
+        "return MAJORITY_WAIT_MOST",
+        "test_slow_majority.SlowMajority.test_who_is_cut_off_still_says_so_at_once",
+    ),
     CodeMutation(
         "who knows no member asks one seed at a time",
         "gossip/oakramp/gossip/gossip_client.py",
