--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -160,11 +160,8 @@
         """Whether the request, which waited for this replica by way of this route, may be sent to it. If it may not be
         sent anywhere any more, that is the error, and the replica is released."""
         try:
-            return (
-                self._router.staleness() is None
-                and self._route_now(proxied_request) == route
-                and self._balancer.is_ready(instance)
-            )
+            self._check_fresh()
+            return self._route_now(proxied_request) == route and self._balancer.is_ready(instance)
         except OakrampError:
             self._balancer.release(instance)
             raise
@@ -190,11 +187,15 @@
         self._authenticator.renew(proxied_request, route)
         return route
 
-    def _last_check(self, proxied_request, instance):
-        """Runs in the turn of the reactor in which the first byte is written: the rules hold at that moment."""
+    def _check_fresh(self):
+        """Refuses what may not be sent as long as the routing or the list of replicas is too old."""
         why = self._router.staleness() or self._gate.replicas_staleness()
         if why is not None:
             raise OverloadedError(why, retry_after=RETRY_AFTER_LEAST)
+
+    def _last_check(self, proxied_request, instance):
+        """Runs in the turn of the reactor in which the first byte is written: the rules hold at that moment."""
+        self._check_fresh()
         route = self._router.find(proxied_request.exchange.host, proxied_request.exchange.path)
         if route != proxied_request.route or not self._balancer.is_ready(instance):
             raise PlanChangedError("the route or its replica changed meanwhile")
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -83,6 +83,22 @@
         self.assertEqual(set(self.gate.balancer.places.values()), {1})
 
 
+class StaleRouting(Calls):
+    def test_a_place_that_comes_once_the_routing_is_too_old_is_given_back_at_once(self):
+        """The gateway asked for a place again and again in one turn of the reactor, and took in no newer routing."""
+        for kind in ("safe", "unsafe", "stream", "tracked"):
+            with self.subTest(kind=kind):
+                self.gate.balancer.places = dict.fromkeys(self.gate.balancer.places, 0)
+                caller = self.gate.ask(request(kind, Operation_Key="k"))
+                self.gate.run(0.1)
+                self.gate.router.stale = "too old"
+                self.gate.balancer.places = dict.fromkeys(self.gate.balancer.places, 1)
+                self.gate.run(0.1)
+                self.assertEqual((self.said(caller).status, self.gate.dialled()), (503, 0))
+                self.assertEqual(set(self.gate.balancer.places.values()), {1})
+                self.setUp()
+
+
 class Leaving(Calls):
     """A caller that goes away frees its replica, and nothing is sent for it any more."""
 
