--- a/packages/common/oakramp/common/constants.py
+++ b/packages/common/oakramp/common/constants.py
@@ -384,27 +384,27 @@
 FINDINGS_SHOWN = 64  # tenants; in the operators' list, the worst first
 TENANTS_NAMED = 4  # tenants; named in one log line
 
-# --- duties at the platform ---------------------------------------------------
-DUTY_ROUND = 0.25  # s; between two looks at what is owed to the platform
-DUTY_RATE_SHARE = 0.5  # share of the platform's rate of duty calls; a former holder may have used some of this second's
-DUTY_CALL_TIME = 2.0  # s; for the answer to a call, doubled after each one that came to nothing
-DUTY_CALL_TIME_MOST = 16.0  # s; a platform that is slow still answers in it
-DUTY_BACKOFF = 0.2  # s; after a call that was not accepted, doubled with each further one and drawn at random
-DUTY_BACKOFF_MOST = 2.0  # s; a window is still on time after an outage
-DUTY_LEASE_LEFT = 0.2  # s; of the lease that must be left when a call is sent
-DUTY_LEASE_POLL = 0.1  # s; how often a call under way is held against the lease
-DUTY_UNACKNOWLEDGED = 0.8  # s; after which the kernel drops what a call's connection still sends: well before the next
-# holder acts, and longer than a lost packet takes
-DUTY_ARRIVAL = 1.2  # s; after which nothing arrives any more of what a former holder sent: what it sent last is dropped
-# by its kernel after DUTY_UNACKNOWLEDGED
-DUTY_RECENT = 2  # duty leases; who acted within so long may be the former holder's former holder, and waits for longer
-DUTY_OFFER_AFTER = 2.0  # s; a holder that cannot connect to the platform for so long offers its shard to others
-DUTY_OFFERS = 3  # nodes; that are asked at a time
-DUTY_PROBE_TIME = 0.5  # s; to connect to the platform, for who is offered a duty
-DUTY_OFFER_TIME = 0.8  # s; for that node's answer
-DUTY_DECLINED = 30.0  # s; for which who has handed a duty over does not ask for it back
-DUTY_ANSWER_LIMIT = 64 << 10  # bytes; of an answer's body, which nobody reads
-DUTY_REFUSALS_MOST = 8  # calls; a report that the platform refuses for good this often is given up
+# --- fenced tasks ---------------------------------------------------
+FENCED_ROUND = 0.25  # s; between two looks at what is owed to the platform
+FENCED_RATE_SHARE = 0.5  # share of the platform's rate of calls; a former holder may have used some of this second's
+FENCED_CALL_TIME = 2.0  # s; for the answer to a call, doubled after each one that came to nothing
+FENCED_CALL_TIME_MOST = 16.0  # s; a platform that is slow still answers in it
+FENCED_BACKOFF = 0.2  # s; after a call that was not accepted, doubled with each further one and drawn at random
+FENCED_BACKOFF_MOST = 2.0  # s; a window is still on time after an outage
+FENCED_LEASE_LEFT = 0.2  # s; of the lease that must be left when a call is sent
+FENCED_LEASE_POLL = 0.1  # s; how often a call under way is held against the lease
+FENCED_UNACKNOWLEDGED = 0.8  # s; after which the kernel drops what a call's connection still sends: well before the
+# next holder acts, and longer than a lost packet takes
+FENCED_ARRIVAL = 1.2  # s; after which nothing arrives any more of what a former holder sent: what it sent last is
+# dropped by its kernel after FENCED_UNACKNOWLEDGED
+FENCED_RECENT = 2  # lock delays; who acted within so long may be the former holder's former holder, and waits longer
+FENCED_OFFER_AFTER = 2.0  # s; a holder that cannot connect to the platform for so long offers its shard to others
+FENCED_OFFERS = 3  # nodes; that are asked at a time
+FENCED_PROBE_TIME = 0.5  # s; to connect to the platform, for who is offered a fenced task
+FENCED_OFFER_TIME = 0.8  # s; for that node's answer
+FENCED_DECLINED = 30.0  # s; for which who has handed a fenced task over does not ask for it back
+FENCED_ANSWER_LIMIT = 64 << 10  # bytes; of an answer's body, which nobody reads
+FENCED_REFUSALS_MOST = 8  # calls; a report that the platform refuses for good this often is given up
 FREEZE_POLL = 0.1  # s; how often a process notes that it runs
 CLOCK_SAMPLE = 1.0  # s; between two looks at the wall clock
 CLOCK_SAMPLES = 60  # looks; whose median counts, so that a jump shorter than half a minute is not seen
--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -72,16 +72,16 @@
     "last_aim_s",
     "usage_window_s",
     "usage_late_s",
-    "duty_lease_s",
+    "lock_delay_s",
     "thaw_s",
 )
 RESOURCES = numbers("memory_mb", "descriptors", "disk_mb", "link_mbps")
 # Whether tenants in mutual eviction are looked for (observe), and moved too (on). Gates count only if it is not off.
 EVICTION_MODES = ("off", "observe", "on")
-# Whether replicas are ordered from the platform, where that is among the duties.
+# Whether replicas are ordered from the platform, where that is among the fenced tasks.
 REPLICA_ORDER_MODES = ("off", "on")
 # What the platform may leave to this fleet: reports of each window's usage, orders of replicas.
-DUTIES = ("usage", "replicaOrders")
+PLATFORM_TASKS = ("usage", "replicaOrders")
 COMMON_SETTINGS = {
     "machine": NAME,
     "zone": NAME,
@@ -97,8 +97,8 @@
     Optional("zones"): [NAME],
     Optional("bounds"): BOUNDS,
     Optional("resources"): RESOURCES,
-    Optional("duties"): [one_of(*DUTIES)],
-    Optional("dutyRate"): ABOVE_ZERO,
+    Optional("platformTasks"): [one_of(*PLATFORM_TASKS)],
+    Optional("platformCallRate"): ABOVE_ZERO,
     Optional("eviction"): Or(None, one_of(*EVICTION_MODES)),
     Optional("replicaOrders"): Or(None, one_of(*REPLICA_ORDER_MODES)),
     Optional("logLevel"): Or(None, one_of(*LEVELS)),
@@ -191,4 +191,4 @@
 
 def orders_replicas(env):
     """Whether the number of replicas is ours to choose, and is to be chosen."""
-    return "replicaOrders" in (env.get("duties") or ()) and env.get("replicaOrders") == "on"
+    return "replicaOrders" in (env.get("platformTasks") or ()) and env.get("replicaOrders") == "on"
--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -36,7 +36,7 @@
         web.route("GET", "/v1/replicas", self._replicas)
         web.route("POST", "/v1/replicas/{id}/leaving", self._mark_leaving)
         web.route("GET", "/v1/placement", self._placement)
-        web.route("GET", "/v1/duties", self._duties)
+        web.route("GET", "/v1/duties", self._fenced_tasks)
         web.route("GET", "/v1/stores", self._stores)
         web.route("PUT", "/v1/stores", self._set_stores)
         web.route("GET", "/v1/roster", self._voting_config)
@@ -137,11 +137,11 @@
             ]
         }
 
-    async def _duties(self, _call):
-        return 200, {"duties": [await self._duty_shown(key) for key in self._control.duty_keys()]}
+    async def _fenced_tasks(self, _call):
+        return 200, {"duties": [await self._fenced_task_shown(key) for key in self._control.fenced_keys()]}
 
-    async def _duty_shown(self, key):
-        """Who holds the duty, and what its key's `read` tells."""
+    async def _fenced_task_shown(self, key):
+        """Who holds the fenced task, and what its key's `read` tells."""
         known = self._control.leaders.failover.known_leader(shard_of_key(key))
         member = known and self._node.members.find(known.node_id)
         holder = {"duty": key, "holder": member and member.machine, "epoch": known and known.epoch}
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -3,8 +3,8 @@
 import time
 
 from oakramp.common.constants import ACCEPT_QUEUE_LIMIT, OWNER_TRIES_PAUSE, SHARDS
-from oakramp.common.duty_request import PlainDutyForm
 from oakramp.common.errors import OakrampError
+from oakramp.common.fenced_call import PlainCallFormat
 from oakramp.common.http_server import HttpServer
 from oakramp.common.metrics import Metrics, serve_metrics
 from oakramp.common.settings import orders_replicas
@@ -23,21 +23,21 @@
 )
 from oakramp.control.admin_api import AdminApi
 from oakramp.control.bootstrap import found, founding_of
-from oakramp.control.duty_hand_over import DutyHandOver
+from oakramp.control.fenced_task import FencedCaller
 from oakramp.control.leader_registry import LeaderRegistry
 from oakramp.control.lease import LeaseRenewalPiggyback
 from oakramp.control.lease_expiry import LeaseExpiryWatch
 from oakramp.control.membership_repair import MembershipRepairTask
 from oakramp.control.operator_api import OperatorApi
-from oakramp.control.platform_duty import DutyCaller
 from oakramp.control.prefix_placement import PrefixPlacementTask
 from oakramp.control.replica_discovery import ReplicaDiscovery
-from oakramp.control.replica_order_duty import ReplicaOrderDuty
+from oakramp.control.replica_ordering import ReplicaOrdering
 from oakramp.control.replica_orders import ORDERS_KEY
 from oakramp.control.shard_client import MajorityClient, ShardClient
+from oakramp.control.shard_hand_over import ShardHandOver
 from oakramp.control.store_membership import StoreMembershipTask
 from oakramp.control.usage import USAGE_KEY
-from oakramp.control.usage_report import UsageDuty
+from oakramp.control.usage_report import UsageReporting
 from oakramp.control.voter import Voter
 from oakramp.gossip.node import Node
 from oakramp.storage.circular_log import CircularLog
@@ -78,8 +78,8 @@
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.operator = OperatorApi(self, dialect) if dialect is not None and env.get("operator") else None
         self.metrics = Metrics()
-        self.clock = self.duty_caller = self.usage = self.orders = None
-        self._compose_duties(env, wall, dialect)
+        self.clock = self.fenced_caller = self.usage = self.orders = None
+        self._compose_fenced_tasks(env, wall, dialect)
         serve_metrics(self.web, self.metrics)
         AdminApi(self)
         for name, ask in (
@@ -99,28 +99,28 @@
         ):
             self.metrics.gauge(name, ask)
 
-    def _compose_duties(self, env, wall, dialect):
-        """The duties that the platform leaves to this fleet, as far as this node can reach the platform."""
-        duties = env.get("duties") or ()
-        if not duties or not env.get("platform"):
+    def _compose_fenced_tasks(self, env, wall, dialect):
+        """The fenced tasks that the platform leaves to this fleet, as far as this node can reach the platform."""
+        tasks = env.get("platformTasks") or ()
+        if not tasks or not env.get("platform"):
             return
         self.clock = SteadyWallClock(self.node.reactor, wall, self.node.log)
-        form = dialect or PlainDutyForm()
-        hand_over = DutyHandOver(self.node, self.leaders)
-        self.duty_caller = DutyCaller(self.node, form, self.metrics, hand_over)
-        if "usage" in duties:
-            self.usage = UsageDuty(self.node, self.leaders, self.duty_caller, form, self.clock)
+        form = dialect or PlainCallFormat()
+        hand_over = ShardHandOver(self.node, self.leaders)
+        self.fenced_caller = FencedCaller(self.node, form, self.metrics, hand_over)
+        if "usage" in tasks:
+            self.usage = UsageReporting(self.node, self.leaders, self.fenced_caller, form, self.clock)
             self.metrics.gauge("usage_windows_owed", self.usage.windows_owed)
         if dialect is not None and orders_replicas(env):
-            self.orders = ReplicaOrderDuty(self.node, self.leaders, self.duty_caller, form, dialect)
+            self.orders = ReplicaOrdering(self.node, self.leaders, self.fenced_caller, form, dialect)
             self.metrics.gauge("replica_orders_owed", self.orders.orders_owed)
 
-    def duty_keys(self):
-        """The keys of the duties that this node takes part in."""
-        return [key for key, duty in ((USAGE_KEY, self.usage), (ORDERS_KEY, self.orders)) if duty]
+    def fenced_keys(self):
+        """The keys of the fenced tasks that this node takes part in."""
+        return [key for key, task in ((USAGE_KEY, self.usage), (ORDERS_KEY, self.orders)) if task]
 
-    def _duty_parts(self):
-        return [part for part in (self.clock, self.duty_caller, self.usage, self.orders) if part is not None]
+    def _fenced_parts(self):
+        return [part for part in (self.clock, self.fenced_caller, self.usage, self.orders) if part is not None]
 
     def start(self):
         """Listens, joins the gossip, and starts the periodic tasks once what this node bootstraps is on its disk."""
@@ -138,9 +138,9 @@
             except (OakrampError, OSError) as error:
                 self.node.log.warning("bootstrap_failed", error=repr(error))
                 await sleep(self.node.reactor, OWNER_TRIES_PAUSE)
-        self._start_duties()
+        self._start_tasks()
 
-    def _start_duties(self):
+    def _start_tasks(self):
         self.leaders.start()
         self.lapses.start()
         self.store_watch.start()
@@ -148,7 +148,7 @@
         self.placement.start()
         if self.platform:
             self.platform.start()
-        for part in self._duty_parts():
+        for part in self._fenced_parts():
             part.start()
 
     async def stop(self):
@@ -157,7 +157,7 @@
         await self.node.gossip_client.say_leaving()
         if self.platform:
             self.platform.stop()
-        for part in self._duty_parts():
+        for part in self._fenced_parts():
             part.stop()
         self.store_watch.stop()
         self.placement.stop()
--- a/packages/control/oakramp/control/replica_order_duty.py
+++ b/packages/control/oakramp/control/replica_ordering.py
@@ -1,4 +1,4 @@
-"""The duty of ordering replicas: one node sizes each service by what gateways report, and tells the platform."""
+"""The fenced task of ordering replicas: one node sizes each service by what gateways report, and tells the platform."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from oakramp.common.constants import REPLICA_AGE, ROUTING_AGE
-from oakramp.control.platform_duty import DutyCaller, DutyOutcome, PlatformDuty
+from oakramp.control.fenced_task import CallOutcome, FencedCaller, FencedTask
 from oakramp.control.replica_orders import ORDERS_KEY, Subject, demand_in, is_owed, orders_in
 from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.replica_sizing import ReplicaRange, ServiceSizing, ZoneReplicas
@@ -18,7 +18,7 @@
 from oakramp.control.singleton_task import SingletonTask
 
 if TYPE_CHECKING:
-    from oakramp.common.duty_request import DutyForm
+    from oakramp.common.fenced_call import CallFormat
     from oakramp.control.leader_registry import LeaderRegistry
     from oakramp.control.shard_leader import ShardLeader
     from oakramp.gossip.node import Node
@@ -146,10 +146,10 @@
         return orders
 
 
-class ReplicaOrderTask(PlatformDuty):
+class ReplicaOrderTask(FencedTask):
     """Tells the platform of orders that it has not accepted yet, one at a time."""
 
-    def __init__(self, node: Node, leaders: LeaderRegistry, caller: DutyCaller, form: DutyForm) -> None:
+    def __init__(self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat) -> None:
         super().__init__(node, leaders, ORDERS_KEY, caller)
         self._form = form
 
@@ -160,18 +160,20 @@
                 return
             request = self._form.replica_order(order["service"], order["zone"], order["count"])
             outcome = await self._call(leader, request)
-            if outcome is DutyOutcome.ACCEPTED:
+            if outcome is CallOutcome.ACCEPTED:
                 await leader.do(ORDERS_KEY, "accepted", order)
-            elif outcome is DutyOutcome.REFUSED and (await leader.do(ORDERS_KEY, "refused", order))["given_up"]:
+            elif outcome is CallOutcome.REFUSED and (await leader.do(ORDERS_KEY, "refused", order))["given_up"]:
                 self._node.log.error(
                     "replica_order_given_up", service=order["service"], zone=order["zone"], count=order["count"]
                 )
 
 
-class ReplicaOrderDuty:
-    """The parts of this duty on one node."""
+class ReplicaOrdering:
+    """The parts of this task on one node."""
 
-    def __init__(self, node: Node, leaders: LeaderRegistry, caller: DutyCaller, form: DutyForm, dialect: Any) -> None:
+    def __init__(
+        self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat, dialect: Any
+    ) -> None:
         self._leaders = leaders
         self._shard = shard_of_key(ORDERS_KEY)
         self._sizing = ReplicaSizingTask(node, leaders, FleetView(node, dialect))
@@ -188,6 +190,6 @@
         self._orders.stop()
 
     def orders_owed(self) -> int:
-        """How many orders the platform has not accepted yet; 0 on a node that does not hold the duty."""
+        """How many orders the platform has not accepted yet; 0 on a node that does not hold the fenced task."""
         leader = self._leaders.active.get(self._shard)
         return 0 if leader is None else sum(map(is_owed, orders_in(leader.entries).values()))
--- a/packages/control/oakramp/control/replica_orders.py
+++ b/packages/control/oakramp/control/replica_orders.py
@@ -20,7 +20,7 @@
 
 from schema import And
 
-from oakramp.common.constants import DUTY_REFUSALS_MOST, REPORT_GATES
+from oakramp.common.constants import FENCED_REFUSALS_MOST, REPORT_GATES
 from oakramp.common.errors import BadRequestError
 from oakramp.common.validation import check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
@@ -117,7 +117,7 @@
 
 def is_owed(row: dict[str, Any]) -> bool:
     """Whether the platform is still to be told of this order."""
-    return not row["accepted"] and row["refusals"] < DUTY_REFUSALS_MOST
+    return not row["accepted"] and row["refusals"] < FENCED_REFUSALS_MOST
 
 
 def _owed(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
--- a/packages/control/oakramp/control/duty_hand_over.py
+++ b/packages/control/oakramp/control/shard_hand_over.py
@@ -1,4 +1,4 @@
-"""Gives a duty's shard to a node that reaches the platform, where its leader does not.
+"""Gives a task's shard to a node that reaches the platform, where its leader does not.
 
 A leader's lease tells nothing of the way to the platform. Whether a node takes the shard over decides nothing about
 safety: it does so by the ordinary failover, which asks the leader to release it.
@@ -9,7 +9,7 @@
 from functools import cached_property
 from typing import TYPE_CHECKING, Any
 
-from oakramp.common.constants import DUTY_DECLINED, DUTY_OFFER_TIME, DUTY_OFFERS, DUTY_PROBE_TIME
+from oakramp.common.constants import FENCED_DECLINED, FENCED_OFFER_TIME, FENCED_OFFERS, FENCED_PROBE_TIME
 from oakramp.common.errors import OakrampError
 
 if TYPE_CHECKING:
@@ -18,13 +18,13 @@
     from oakramp.gossip.node import Node
 
 
-class DutyHandOver:
+class ShardHandOver:
     """Offers this node's shards to other voters, and takes theirs if this node reaches the platform."""
 
     def __init__(self, node: Node, leaders: LeaderRegistry) -> None:
         self._node = node
         self._leaders = leaders
-        node.net.handle("dutyTake", self._serve_take)
+        node.net.handle("shardOffer", self._serve_take)
 
     @cached_property
     def _client(self) -> HttpClient:
@@ -38,14 +38,14 @@
         addresses = self._leaders.voter_addresses()
         others = [node_id for node_id in self._leaders.failover.live_voters() if node_id != self._node.node_id]
         self._node.random.shuffle(others)
-        for node_id in others[:DUTY_OFFERS]:
+        for node_id in others[:FENCED_OFFERS]:
             try:
-                is_taken = await self._node.net.call(addresses[node_id], "dutyTake", DUTY_OFFER_TIME, shard=shard)
+                is_taken = await self._node.net.call(addresses[node_id], "shardOffer", FENCED_OFFER_TIME, shard=shard)
             except OakrampError:
                 continue
             if is_taken:
-                self._leaders.failover.decline(shard, DUTY_DECLINED)
-                self._node.log.info("duty_handed_over", shard=shard, to=node_id)
+                self._leaders.failover.decline(shard, FENCED_DECLINED)
+                self._node.log.info("shard_handed_over", shard=shard, to=node_id)
                 return True
         return False
 
@@ -53,7 +53,7 @@
         failover = self._leaders.failover
         if self._node.node_id not in failover.live_voters():
             return False
-        await self._client.probe(self._node.env["platform"], DUTY_PROBE_TIME)
+        await self._client.probe(self._node.env["platform"], FENCED_PROBE_TIME)
         if not failover.is_free(arguments.shard):
             return False
         failover.begin_failover(arguments.shard)
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -1,18 +1,18 @@
-"""The duty of reporting usage: one node closes each window once it is over, and reports what was closed."""
+"""The fenced task of reporting usage: one node closes each window once it is over, and reports what was closed."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from oakramp.common.constants import DUTY_REFUSALS_MOST, DUTY_ROUND, USAGE_GRACE
+from oakramp.common.constants import FENCED_REFUSALS_MOST, FENCED_ROUND, USAGE_GRACE
 from oakramp.common.wall_clock import SteadyWallClock, window_at
-from oakramp.control.platform_duty import DutyCaller, DutyOutcome, PlatformDuty
+from oakramp.control.fenced_task import CallOutcome, FencedCaller, FencedTask
 from oakramp.control.shards import shard_of_key
 from oakramp.control.singleton_task import SingletonTask
 from oakramp.control.usage import USAGE_KEY, WINDOW_ROWS, clocks_in
 
 if TYPE_CHECKING:
-    from oakramp.common.duty_request import DutyForm
+    from oakramp.common.fenced_call import CallFormat
     from oakramp.control.leader_registry import LeaderRegistry
     from oakramp.control.shard_leader import ShardLeader
     from oakramp.gossip.node import Node
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, node: Node, leaders: LeaderRegistry, clock: SteadyWallClock) -> None:
-        super().__init__(node, leaders, USAGE_KEY, DUTY_ROUND)
+        super().__init__(node, leaders, USAGE_KEY, FENCED_ROUND)
         self._clock = clock
         self._window_s = (node.env.get("bounds") or {}).get("usage_window_s", WINDOW_DEFAULT)
         self._closed: tuple[ShardLeader | None, int] = (None, 0)
@@ -64,10 +64,10 @@
         return own if fleet is None else fleet
 
 
-class UsageReportTask(PlatformDuty):
+class UsageReportTask(FencedTask):
     """Reports closed windows, the oldest first, one at a time."""
 
-    def __init__(self, node: Node, leaders: LeaderRegistry, caller: DutyCaller, form: DutyForm) -> None:
+    def __init__(self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat) -> None:
         super().__init__(node, leaders, USAGE_KEY, caller)
         self._form = form
         self._refusals = 0
@@ -78,24 +78,24 @@
             if owed["window"] is None:
                 return
             outcome = await self._call(leader, self._form.usage_report(owed["window"], owed["counts"]))
-            if outcome is DutyOutcome.ACCEPTED or self._is_given_up(outcome, owed["window"]):
+            if outcome is CallOutcome.ACCEPTED or self._is_given_up(outcome, owed["window"]):
                 await leader.do(USAGE_KEY, "delivered", {"window": owed["window"]})
 
-    def _is_given_up(self, outcome: DutyOutcome, window: int) -> bool:
+    def _is_given_up(self, outcome: CallOutcome, window: int) -> bool:
         """Whether the platform has refused this window for good so often that the next ones should not wait for it."""
-        self._refusals = self._refusals + 1 if outcome is DutyOutcome.REFUSED else 0
-        if self._refusals < DUTY_REFUSALS_MOST:
+        self._refusals = self._refusals + 1 if outcome is CallOutcome.REFUSED else 0
+        if self._refusals < FENCED_REFUSALS_MOST:
             return False
         self._refusals = 0
-        self._node.log.error("usage_window_given_up", window=window, refusals=DUTY_REFUSALS_MOST)
+        self._node.log.error("usage_window_given_up", window=window, refusals=FENCED_REFUSALS_MOST)
         return True
 
 
-class UsageDuty:
-    """The parts of this duty on one node."""
+class UsageReporting:
+    """The parts of this task on one node."""
 
     def __init__(
-        self, node: Node, leaders: LeaderRegistry, caller: DutyCaller, form: DutyForm, clock: SteadyWallClock
+        self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat, clock: SteadyWallClock
     ) -> None:
         self._leaders = leaders
         self._shard = shard_of_key(USAGE_KEY)
@@ -113,6 +113,6 @@
         self._report.stop()
 
     def windows_owed(self) -> int:
-        """How many windows are closed and not delivered; 0 on a node that does not hold the duty."""
+        """How many windows are closed and not delivered; 0 on a node that does not hold the fenced task."""
         leader = self._leaders.active.get(self._shard)
         return 0 if leader is None else count_owed(leader)
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -62,7 +62,7 @@
         self.upstreams = Upstreams(reactor, env["relay"].rpartition(":")[0], self.node.log)
         self.balancer.on_gone = self.upstreams.close_instance
         turns = TurnClient(self.node)
-        is_counting = "usage" in (env.get("duties") or ())
+        is_counting = "usage" in (env.get("platformTasks") or ())
         self.usage = UsageCounter(self, wall, bounds["usage_window_s"]) if is_counting else NoUsage()
         self.demand = DemandReporter(self, self.router, self.balancer) if orders_replicas(env) else None
         self.relay = RequestProxy(self, dialect, self.router, self.balancer, self.upstreams, turns, self.placement)
--- a/packages/rpc/oakramp/rpc/messages.py
+++ b/packages/rpc/oakramp/rpc/messages.py
@@ -381,15 +381,6 @@
     default_spec = [("leases", None), ("owner", None), ("voting_config_version", None)]
 
 
-class dutyTake_args(TPayload):
-    """Struct `dutyTake_args`; messages.thrift says what is in it."""
-
-    thrift_spec = {
-        1: (8, "shard", False),
-    }
-    default_spec = [("shard", None)]
-
-
 class imagePart_args(TPayload):
     """Struct `imagePart_args`; messages.thrift says what is in it."""
 
@@ -533,6 +524,15 @@
     default_spec = []
 
 
+class shardOffer_args(TPayload):
+    """Struct `shardOffer_args`; messages.thrift says what is in it."""
+
+    thrift_spec = {
+        1: (8, "shard", False),
+    }
+    default_spec = [("shard", None)]
+
+
 class stage_args(TPayload):
     """Struct `stage_args`; messages.thrift says what is in it."""
 
@@ -678,15 +678,6 @@
     default_spec = [("success", None)]
 
 
-class dutyTake_result(TPayload):
-    """Struct `dutyTake_result`; messages.thrift says what is in it."""
-
-    thrift_spec = {
-        0: (2, "success", False),
-    }
-    default_spec = [("success", None)]
-
-
 class imagePart_result(TPayload):
     """Struct `imagePart_result`; messages.thrift says what is in it."""
 
@@ -813,6 +804,15 @@
     default_spec = [("success", None)]
 
 
+class shardOffer_result(TPayload):
+    """Struct `shardOffer_result`; messages.thrift says what is in it."""
+
+    thrift_spec = {
+        0: (2, "success", False),
+    }
+    default_spec = [("success", None)]
+
+
 class stage_result(TPayload):
     """Struct `stage_result`; messages.thrift says what is in it."""
 
@@ -907,7 +907,6 @@
     "accept": accept_args,
     "acceptMany": acceptMany_args,
     "confirm": confirm_args,
-    "dutyTake": dutyTake_args,
     "imagePart": imagePart_args,
     "lineBuckets": lineBuckets_args,
     "lineDigests": lineDigests_args,
@@ -922,6 +921,7 @@
     "pull": pull_args,
     "release": release_args,
     "rosterVersion": rosterVersion_args,
+    "shardOffer": shardOffer_args,
     "stage": stage_args,
     "storeStatus": storeStatus_args,
     "turnAges": turnAges_args,
@@ -939,7 +939,6 @@
     "accept": accept_result,
     "acceptMany": acceptMany_result,
     "confirm": confirm_result,
-    "dutyTake": dutyTake_result,
     "imagePart": imagePart_result,
     "lineBuckets": lineBuckets_result,
     "lineDigests": lineDigests_result,
@@ -954,6 +953,7 @@
     "pull": pull_result,
     "release": release_result,
     "rosterVersion": rosterVersion_result,
+    "shardOffer": shardOffer_result,
     "stage": stage_result,
     "storeStatus": storeStatus_result,
     "turnAges": turnAges_result,
--- a/packages/rpc/oakramp/rpc/messages.thrift
+++ b/packages/rpc/oakramp/rpc/messages.thrift
@@ -122,7 +122,7 @@
       // ms for which this voter has confirmed no lease of each slot and has promised it to no other than the asker
   i64 release(1: i32 shard)
   i64 rosterVersion()     // under which this voter answers now
-  bool dutyTake(1: i32 shard)   // whether this node reaches the platform, and takes the slot over from the asker, who does not
+  bool shardOffer(1: i32 shard)   // whether this node reaches the platform, and takes the slot over from the asker, who does not
   string platformList()   // JSON: the platform's rows as this node reads them; or the error platformAway
   LineState lineGet(1: string key)
   string linePut(1: string key, 2: string context, 3: binary value, 4: i64 store_epoch)
