--- a/deploy/compile_sources.py
+++ b/deploy/compile_sources.py
@@ -9,7 +9,7 @@
 sys.dont_write_bytecode = True  # the build writes below target/ only
 sys.path.append(os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "platform"))
 
-from byte_code import COMPILED, FOLDERS, place_of  # noqa: E402
+from byte_code import COMPILED, FOLDERS, cache_path  # noqa: E402
 
 
 def main() -> None:
@@ -18,7 +18,7 @@
     for folder in FOLDERS:
         for source in sorted(map(str, pathlib.Path(folder).rglob("*.py"))):
             timestamp = py_compile.PycInvalidationMode.TIMESTAMP
-            py_compile.compile(source, cfile=place_of(source), doraise=True, invalidation_mode=timestamp)
+            py_compile.compile(source, cfile=cache_path(source), doraise=True, invalidation_mode=timestamp)
 
 
 if __name__ == "__main__":
--- a/packages/common/oakramp/common/wall_clock.py
+++ b/packages/common/oakramp/common/wall_clock.py
@@ -82,26 +82,26 @@
 class FleetClock:
     """A machine's own steady wall time, or the fleet's once the two differ by more than CLOCK_DIFFERENCE.
 
-    Invariant: `_offset` is the distance of the fleet's wall time to monotonic time as it was told at `_told_at`.
+    Invariant: `_offset` is the distance of the fleet's wall time to monotonic time as it was told at `_known_at`.
     """
 
     def __init__(self, reactor: Any, own: SteadyWallClock) -> None:
         self._reactor, self._own = reactor, own
-        self._offset, self._told_at = 0.0, float("-inf")
+        self._offset, self._known_at = 0.0, float("-inf")
 
     def hear(self, wall: float) -> None:
         """The fleet's wall time is this now."""
-        self._told_at = self._reactor.seconds()
-        self._offset = wall - self._told_at
+        self._known_at = self._reactor.seconds()
+        self._offset = wall - self._known_at
 
-    def is_told(self) -> bool:
+    def is_known(self) -> bool:
         """Whether the fleet's wall time is known."""
-        return self._reactor.seconds() <= self._told_at + CLOCK_MEMORY
+        return self._reactor.seconds() <= self._known_at + CLOCK_MEMORY
 
     def now(self) -> float:
         """Seconds since the start of 1970."""
         own = self._own.now()
-        if not self.is_told():
+        if not self.is_known():
             return own
         fleet = self._reactor.seconds() + self._offset
         return own if abs(fleet - own) <= CLOCK_DIFFERENCE else fleet
--- a/packages/control/oakramp/control/replica_ordering.py
+++ b/packages/control/oakramp/control/replica_ordering.py
@@ -24,7 +24,7 @@
     from oakramp.gossip.node import Node
 
 SIZING_ROUND = 1.0  # s; as often as gateways report
-HEARD_SHARE = 0.8  # of the live gateways; with fewer reports than that the demand is not known
+REPORTING_SHARE = 0.8  # of the live gateways; with fewer reports than that the demand is not known
 READY = "ready"
 
 
@@ -72,7 +72,7 @@
     def are_enough(self, gateways: int) -> bool:
         """Whether so many gateways are nearly all that live."""
         live = self._node.members.live_count("gate")
-        return live > 0 and gateways >= math.ceil(HEARD_SHARE * live)
+        return live > 0 and gateways >= math.ceil(REPORTING_SHARE * live)
 
 
 def range_of(row: dict[str, Any]) -> ReplicaRange:
@@ -83,8 +83,8 @@
 
 def slots_of(service: dict[str, Any], rows: Iterable[dict[str, Any]]) -> float | None:
     """Requests that a replica works on at once, on average; None if nobody tells."""
-    told = [row["slots"] for row in rows if row.get("slots")]
-    return sum(told) / len(told) if told else service.get("slots")
+    reported = [row["slots"] for row in rows if row.get("slots")]
+    return sum(reported) / len(reported) if reported else service.get("slots")
 
 
 def zones_of(rows: Iterable[dict[str, Any]], ordered: dict[str, int]) -> dict[str, ZoneReplicas]:
--- a/packages/control/oakramp/control/replica_sizing.py
+++ b/packages/control/oakramp/control/replica_sizing.py
@@ -17,7 +17,7 @@
 LEVEL_SPAN = 3.0  # s; that demand is averaged over
 TREND_SPAN = 10.0  # s; that its slope is taken over
 FORECAST_MOST = 1.5  # times the present demand; a slope over seconds tells no more than that
-DEMAND_SETTLE = 5.0  # s; of known demand before the first order
+DEMAND_WARM_UP = 5.0  # s; of known demand before the first order
 DEMAND_GAP = 5.0  # s; without known demand, after which the past counts for nothing
 STABILIZATION = 60.0  # s; whose highest demand counts when scaling in
 ROUNDING = 1e-9  # of a replica; what floating point adds to a whole number asks for no other
@@ -51,7 +51,7 @@
         return self.ready + self.leaving if self.ordered is None else self.ordered
 
     @property
-    def is_settled(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether exactly those serve, and none is on its way in or out."""
         return self.leaving == 0 and self.ready == self.standing
 
@@ -95,7 +95,7 @@
         """
         if dict(zones) != self._zones:
             self._zones, self._changed_at = dict(zones), now
-        if not zones or now - self._known_since < DEMAND_SETTLE:
+        if not zones or now - self._known_since < DEMAND_WARM_UP:
             return {}
         counts = {zone: replica_range.clamp(one.standing) for zone, one in zones.items()}
         target = TARGET_USE * slots
@@ -165,6 +165,6 @@
 
 def _scale_in(counts: dict[str, int], zones: Mapping[str, ZoneReplicas], least: int) -> None:
     """Takes one replica from the zone that has the most, of those where nothing is on its way in or out."""
-    settled = [zone for zone, count in counts.items() if count > least and zones[zone].is_settled]
-    if settled and all(one.leaving == 0 for one in zones.values()):
-        counts[max(settled, key=lambda zone: (counts[zone], zone))] -= 1
+    stable = [zone for zone, count in counts.items() if count > least and zones[zone].is_stable]
+    if stable and all(one.leaving == 0 for one in zones.values()):
+        counts[max(stable, key=lambda zone: (counts[zone], zone))] -= 1
--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -32,7 +32,7 @@
 NUMBER_LIMIT = 1 << 53
 WINDOW = whole(0, 10**12 - 1)
 WALL_TIME_LIMIT = 1e12  # s
-CLOCKS_MARK = "clocks of gateways"
+CLOCKS_KEY = "clocks of gateways"
 GATEWAY: Any = And(str, len, error="must be a gateway's node id")
 COUNT = {
     "gateway": GATEWAY,
@@ -60,7 +60,7 @@
 
 def clocks_in(marks: dict[str, Any]) -> ClockVoices:
     """The clocks of the machines that this leadership has heard of."""
-    clocks: ClockVoices = marks.setdefault(CLOCKS_MARK, ClockVoices())
+    clocks: ClockVoices = marks.setdefault(CLOCKS_KEY, ClockVoices())
     return clocks
 
 
@@ -78,11 +78,11 @@
     check_fields(COUNT, arguments)
     windows = {_window(text): _checked(counts) for text, counts in arguments["windows"].items()}
     context = transaction.context
-    is_settled = context.age_of(key) >= USAGE_CLOCKS_SETTLE
+    is_stable = context.age_of(key) >= USAGE_CLOCKS_SETTLE
     clocks = clocks_in(context.marks)
     if "time" in arguments:
         clocks.hear(arguments["gateway"], arguments["time"], context.now)
-    answer = {"time": clocks.time(context.now) if is_settled else None, "settled": is_settled}
+    answer = {"time": clocks.time(context.now) if is_stable else None, "settled": is_stable}
     head = transaction.get(key)
     if head is None:
         return answer | {"next": 0}
@@ -167,14 +167,14 @@
     """For operators; `heldFor` and `deliveredAge` in seconds, the latter None if this leader delivered nothing."""
     head = transaction.get(key) or {"next": None, "sent": None}
     owed = [window_of_row(row) for row in transaction.keys(WINDOW_ROWS)]
-    context, mark = transaction.context, WINDOW_ROWS.partition("/")[0]
+    context, delivered_key = transaction.context, WINDOW_ROWS.partition("/")[0]
     return {
         "next": head["next"],
         "sent": head["sent"],
         "owed": owed[:USAGE_OWED_SHOWN],
         "owedCount": len(owed),
         "heldFor": round(context.age_of(key), 3),
-        "deliveredAge": round(context.age_of(mark), 3) if mark in context.marks else None,
+        "deliveredAge": round(context.age_of(delivered_key), 3) if delivered_key in context.marks else None,
     }
 
 
--- a/packages/gateway/oakramp/gateway/usage_counter.py
+++ b/packages/gateway/oakramp/gateway/usage_counter.py
@@ -46,7 +46,7 @@
 class UsageCounter(NoUsage):
     """Invariants: a request is counted once, however many replicas it was sent to; `_windows` holds no window that is
     known to be closed, and the newest USAGE_WINDOWS_KEPT at most; `_is_changed` is set while there is something that no
-    report has told; `_takes_time` is set once a leader has answered whose release knows of `time`; `_held` has the
+    report has told; `_takes_time` is set once a leader has answered whose release knows of `time`; `_pending` has the
     (monotonic time, tenant) of requests that are in no window yet, and is empty once `_awaits_time` is not set;
     `_taken` has, for windows of `_windows`, how many requests a leader has answered to have taken."""
 
@@ -60,7 +60,7 @@
         self._takes_time = False
         self._silent_rounds = USAGE_SILENCE
         self._awaits_time = True
-        self._held: list[tuple[float, str]] = []
+        self._pending: list[tuple[float, str]] = []
         self._taken: dict[int, int] = {}
         self._windows: dict[int, Counter[str]] = {}
         self._is_changed = False
@@ -86,17 +86,17 @@
             return
         proxied_request.is_counted = True
         if self._awaits_time:
-            self._held.append((began_at, proxied_request.tenant.name))
+            self._pending.append((began_at, proxied_request.tenant.name))
         else:
-            self._place(began_at, proxied_request.tenant.name)
+            self._add(began_at, proxied_request.tenant.name)
 
     def _await_no_longer(self) -> None:
         """Puts requests that waited for the fleet's time into their windows."""
-        self._awaits_time, held, self._held = False, self._held, []
-        for began_at, tenant in held:
-            self._place(began_at, tenant)
+        self._awaits_time, pending, self._pending = False, self._pending, []
+        for began_at, tenant in pending:
+            self._add(began_at, tenant)
 
-    def _place(self, began_at: float, tenant: str) -> None:
+    def _add(self, began_at: float, tenant: str) -> None:
         """Puts a request into its window."""
         wall_time = self._fleet_clock.now() - (self._node.reactor.seconds() - began_at)
         counts = self._windows.setdefault(window_at(wall_time, self._window_s), Counter())
@@ -109,7 +109,7 @@
 
     async def _round(self) -> None:
         self._silent_rounds += 1
-        if self._held and self._node.reactor.seconds() >= self._held[0][0] + USAGE_HELD:
+        if self._pending and self._node.reactor.seconds() >= self._pending[0][0] + USAGE_HELD:
             self._await_no_longer()
         if self._is_changed or self._silent_rounds >= USAGE_SILENCE:
             await self._report(USAGE_REPORT_TIME)
@@ -148,9 +148,9 @@
                 self._fleet_clock.hear(answer["time"])
             self._await_no_longer()
 
-    def _forget_closed(self, first_open: int, told: dict[str, dict[str, int]]) -> None:
-        """Drops windows before `first_open`, which is 0 where none was opened yet; `told` was in the report."""
-        for text, counts in told.items():
+    def _forget_closed(self, first_open: int, reported: dict[str, dict[str, int]]) -> None:
+        """Drops windows before `first_open`, which is 0 where none was opened yet; `reported` was in the report."""
+        for text, counts in reported.items():
             if 0 < first_open <= int(text):
                 self._taken[int(text)] = sum(counts.values())
         late = 0
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1798,7 +1798,7 @@
     CodeMutation(
         "a leadership that has just begun tells no time",
         "control/oakramp/control/usage.py",
-        "if is_settled else None",
+        "if is_stable else None",
         "if True else None",
         "test_usage.Windows.test_the_median_of_three_clocks_is_told_once_the_leadership_has_settled",
     ),
@@ -1917,7 +1917,7 @@
     CodeMutation(
         "nothing is ordered away while replicas come or go",
         "control/oakramp/control/replica_sizing.py",
-        " and zones[zone].is_settled]",
+        " and zones[zone].is_stable]",
         "]",
         "test_replica_orders.Sizing.test_no_order_goes_below_what_serves_while_replicas_close_for_other_reasons",
     ),
--- a/packages/testbed/oakramp/testbed/rush_sizing.py
+++ b/packages/testbed/oakramp/testbed/rush_sizing.py
@@ -38,7 +38,7 @@
     def __post_init__(self) -> None:
         super().__post_init__()
         self.serve = POLICIES.find("gateways")
-        self.states = {name: (ZONES[place % len(ZONES)], "ready") for place, name in enumerate(self.engines)}
+        self.states = {name: (ZONES[position % len(ZONES)], "ready") for position, name in enumerate(self.engines)}
         self._sizing = ServiceSizing()
         self._versions = 1
         if self.orders == "most":
