--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -155,10 +155,10 @@
         if snapshot is not None and snapshot.version > self._known[0]:
             self._known = document_from(self._node.state_table.values(ROUTING_KEY))
         known = self._known
-        said = await self._ask(ROUTING_KEY, "read", {"known": known[0]})
-        if said["version"] == known[0]:
+        answer = await self._ask(ROUTING_KEY, "read", {"known": known[0]})
+        if answer["version"] == known[0]:
             return known
-        newest = said["version"], said.get("document")
+        newest = answer["version"], answer.get("document")
         self._known = max(self._known, newest, key=lambda one: one[0])
         return newest
 
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -63,7 +63,7 @@
     def __init__(self, log):
         self._log = log
         self._known = {}
-        self._told = {}
+        self._reported = {}
 
     def read(self, rows):
         """A row for each replica that can be made out. One bad row must not hide what the others say."""
@@ -102,9 +102,9 @@
     def _tell(self, odd):
         for why, names in odd.items():
             names = sorted(names)
-            if names != self._told.get(why, []):
+            if names != self._reported.get(why, []):
                 self._log.info("replica_list_anomaly", why=why, rows=len(names), first=",".join(names[:4]))
-            self._told[why] = names
+            self._reported[why] = names
 
 
 class ReplicaDiscovery(SingletonTask):
@@ -183,10 +183,10 @@
             for node_id, address in self._owners.voter_addresses().items()
             if node_id != self._node.node_id
         }
-        reached, said = await quorum_of(works | {self._node.node_id: own}, lambda node_ids: len(node_ids) > 0)
+        reached, answers = await quorum_of(works | {self._node.node_id: own}, lambda node_ids: len(node_ids) > 0)
         if reached:
-            return next(iter(said.values()))
-        away = {node_id for node_id, error in said.items() if isinstance(error, PlatformUnavailableError)}
+            return next(iter(answers.values()))
+        away = {node_id for node_id, error in answers.items() if isinstance(error, PlatformUnavailableError)}
         if voting_config.is_quorum(away):
             return None
         raise QuorumUnavailableError(f"only {len(away)} of the roster say that they cannot reach the platform")
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -37,7 +37,7 @@
             raise OverloadedError("the stores have no room for more until old turns go", retry_after=FULL_RETRY)
         if route.retained and request.previous_turn:
             recalling = defer.ensureDeferred(
-                self._settled(
+                self._outcome_of(
                     self._turns.read_history(
                         request.previous_turn, remaining(self._reactor, proxied_request) * PATIENCE_SHARE
                     )
@@ -49,7 +49,7 @@
         await self._admitted(proxied_request, recalling)
 
     @staticmethod
-    async def _settled(work):
+    async def _outcome_of(work):
         try:
             return True, await work
         except OakrampError as error:
@@ -138,10 +138,10 @@
             part = await self._answers.next_part(proxied_request, answer)
             if part is None:
                 break
-            whole = splitter.feed(part)
-            if whole:
+            events = splitter.feed(part)
+            if events:
                 self._note_first(proxied_request, instance)
-                self._pass_on(proxied_request, whole, self._tokens_per_event(instance.row["pool"]))
+                self._pass_on(proxied_request, events, self._tokens_per_event(instance.row["pool"]))
                 if proxied_request.exchange.is_full:
                     await self._answers.wait_writable(proxied_request, answer)
         if splitter.rest.strip():
@@ -170,10 +170,10 @@
         status, headers = proxied_request.head
         proxied_request.exchange.start(status, headers, None)
 
-    def _pass_on(self, proxied_request, whole, tokens_per_event):
+    def _pass_on(self, proxied_request, events, tokens_per_event):
         """Events that were passed on already by an earlier replica are left out."""
         chunks = []
-        for raw, event_id, data in whole:
+        for raw, event_id, data in events:
             if (
                 proxied_request.last_id is not None
                 and event_id is not None
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -53,8 +53,8 @@
         self._asked_at = {}  # nodeId -> when that node last asked this one (monotonic seconds)
         self.on_answer = set()  # called, in any order, when a node has answered
         self.on_contact = set()  # called, in any order, when a node answers or asks that had not done so lately
-        self._told = {}  # address -> what it was told, if it keeps that
-        self._heard = {}  # nodeId -> what this node was told
+        self._sent_vectors = {}  # address -> what it was told, if it keeps that
+        self._received_vectors = {}  # nodeId -> what this node was told
         self._rounds, self._round_at = 0, float("inf")  # when the last one began (monotonic seconds)
         self._repeater = None
         self._piggyback = self._voter = None
@@ -120,18 +120,18 @@
         enough for its condition, and rows of nodes are all that is taken from a puller."""
         is_new_contact = not self.is_asked_by(peer.node_id)
         self._asked_at[peer.node_id] = self._reactor.seconds()
-        news = self._news_for(peer, arguments)
+        update = self._update_for(peer, arguments)
         if is_new_contact:
             self._on_new_asker(peer)
-        news.cluster_id = self._net.cluster_id
+        update.cluster_id = self._net.cluster_id
         if (
             arguments.leases is not None
             and self._voter is not None
-            and news.cluster_id
-            and peer.cluster_id == news.cluster_id
+            and update.cluster_id
+            and peer.cluster_id == update.cluster_id
         ):
-            news.confirmed = self._voter(peer, arguments.leases)
-        return news
+            update.confirmed = self._voter(peer, arguments.leases)
+        return update
 
     def _on_new_asker(self, peer):
         """A control node that asks is there: it is asked in turn at once, whatever the last attempt to reach it met."""
@@ -142,7 +142,7 @@
                 spawn(self._pull_from(member.peer), self._log)
         _call_all(self.on_contact)
 
-    def _news_for(self, peer, arguments):
+    def _update_for(self, peer, arguments):
         me, now = arguments.me, self._reactor.seconds()
         is_row = me is not None and me.source.startswith(f"{NODE_SOURCE}{peer.node_id}/") and bool(peer.cluster_id)
         if is_row:
@@ -150,22 +150,22 @@
         if not arguments.basis:
             return self._state_table.news_for(arguments.seen or [])
         if arguments.whole:
-            heard = self._heard[peer.node_id] = ReceivedVector(arguments.basis)
+            received = self._received_vectors[peer.node_id] = ReceivedVector(arguments.basis)
         else:
-            heard = self._heard.get(peer.node_id)
-        if heard is None or heard.basis != arguments.basis:
+            received = self._received_vectors.get(peer.node_id)
+        if received is None or received.basis != arguments.basis:
             return idl.GossipUpdate(again=True)
         if is_row:
-            heard.own_source = me.source
+            received.own_source = me.source
         elif (
             me is None
             and peer.cluster_id
-            and not (heard.own_source and self._state_table.confirm(heard.own_source, now))
+            and not (received.own_source and self._state_table.confirm(received.own_source, now))
         ):
             return idl.GossipUpdate(again=True)
-        heard.heard_at = now
-        heard.take(arguments.seen or [])
-        return heard.news_from(self._state_table)
+        received.heard_at = now
+        received.take(arguments.seen or [])
+        return received.news_from(self._state_table)
 
     def start(self):
         """Starts the rounds of requests."""
@@ -244,8 +244,8 @@
             for source in [source for source in self._state_table.snapshots if source.rpartition("/")[2] in forgotten]:
                 self._state_table.drop(source)
         old = self._reactor.seconds() - FORGET_AGE
-        for node_id in [node_id for node_id, heard in self._heard.items() if heard.heard_at < old]:
-            del self._heard[node_id]
+        for node_id in [node_id for node_id, received in self._received_vectors.items() if received.heard_at < old]:
+            del self._received_vectors[node_id]
         self._asked_at = {node_id: at for node_id, at in self._asked_at.items() if at >= old}
         if self._net.cluster_id and self._rounds % OTHER_PEERS_ROUNDS == 0:
             self._learn({member.peer for member in self._members.live("control")} or set(self._identity.addresses))
@@ -260,12 +260,12 @@
     async def _pull_from(self, address):
         self._pulling.add(address)
         try:
-            asked_at, news, seen = await self._ask(address)
-            if news.cluster_id and not self._net.cluster_id and self._identity.founding is None:
-                self._identity.join_cluster(news.cluster_id)
-                self._net.join_cluster(news.cluster_id)
-                self._log.info("cluster_joined", cluster_id=news.cluster_id, through=address)
-            self._state_table.merge(news, seen, asked_at)
+            asked_at, update, seen = await self._ask(address)
+            if update.cluster_id and not self._net.cluster_id and self._identity.founding is None:
+                self._identity.join_cluster(update.cluster_id)
+                self._net.join_cluster(update.cluster_id)
+                self._log.info("cluster_joined", cluster_id=update.cluster_id, through=address)
+            self._state_table.merge(update, seen, asked_at)
             self._note_answer(address, asked_at)
             silent_since = self._silent.pop(address, None)
             if silent_since is not None:
@@ -289,25 +289,26 @@
     async def _ask(self, address):
         """(when it was asked, the answer, the vector that it speaks of)."""
         while True:
-            told = self._told.pop(address, None)  # put back once it has answered: what was lost on the way is not known
-            is_whole = told is None or not told.is_usable()
-            if is_whole:
-                told = SentVector(self._state_table, self._random.getrandbits(62) + 1)
-            me = None if told.own_version == self._version else self._state_table.full_snapshot(self._source)
-            told.own_version, moved = self._version, told.take()
+            # Put back once it has answered: what was lost on the way is not known.
+            sent = self._sent_vectors.pop(address, None)
+            is_complete = sent is None or not sent.is_usable()
+            if is_complete:
+                sent = SentVector(self._state_table, self._random.getrandbits(62) + 1)
+            me = None if sent.own_version == self._version else self._state_table.full_snapshot(self._source)
+            sent.own_version, moved = self._version, sent.take()
             asked_at = self._reactor.seconds()
             ride = self._piggyback and self._piggyback.renewal_for(address)
             leases, confirmed = ride or (None, None)
-            news = await self._net.call(
-                address, "pull", PULL_TIME, seen=moved, me=me, basis=told.basis, whole=is_whole, leases=leases
+            update = await self._net.call(
+                address, "pull", PULL_TIME, seen=moved, me=me, basis=sent.basis, whole=is_complete, leases=leases
             )
-            if ride is not None and news.confirmed is not None:
-                confirmed(news.confirmed)
-            if news.again and not is_whole:
+            if ride is not None and update.confirmed is not None:
+                confirmed(update.confirmed)
+            if update.again and not is_complete:
                 continue
-            if news.basis == told.basis:
-                self._told[address] = told
-            return asked_at, news, told.seen
+            if update.basis == sent.basis:
+                self._sent_vectors[address] = sent
+            return asked_at, update, sent.seen
 
     def answers_lately(self, address, lately=CONDITION_AGE):
         """Whether this address has itself answered; what others say of it does not count."""
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -287,8 +287,8 @@
     CodeMutation(
         "events count by their own service",
         "gateway/oakramp/gateway/proxy_streams.py",
-        'self._pass_on(proxied_request, whole, self._tokens_per_event(instance.row["pool"]))',
-        "self._pass_on(proxied_request, whole, self._tokens_per_event(proxied_request.route.backends[0][0]))",
+        'self._pass_on(proxied_request, events, self._tokens_per_event(instance.row["pool"]))',
+        "self._pass_on(proxied_request, events, self._tokens_per_event(proxied_request.route.backends[0][0]))",
         "test_relay_calls.Budgets.test_events_count_by_the_service_that_put_them_out",
     ),
     CodeMutation(
@@ -549,9 +549,9 @@
     CodeMutation(
         "a read asks the owner",
         "control/oakramp/control/operator_api.py",
-        '        said = await self._ask(ROUTING_KEY, "read", {"known": known[0]})\n',
+        '        answer = await self._ask(ROUTING_KEY, "read", {"known": known[0]})\n',
         (
-            '        said = known[0] and {"version": known[0]} or await self._ask(ROUTING_KEY, "read", '
+            '        answer = known[0] and {"version": known[0]} or await self._ask(ROUTING_KEY, "read", '
             '{"known": known[0]})\n'
         ),
         "test_cut_off.CutMembers.test_member_cut_from_its_zones_others",
@@ -1490,8 +1490,8 @@
     CodeMutation(
         "ages count back from when the peer was asked",
         "gossip/oakramp/gossip/gossip_client.py",
-        "self._state_table.merge(news, seen, asked_at)",
-        "self._state_table.merge(news, seen, self._reactor.seconds())",
+        "self._state_table.merge(update, seen, asked_at)",
+        "self._state_table.merge(update, seen, self._reactor.seconds())",
         "test_routing_ages.RoutingAges.test_no_age_is_wrong_and_no_older_version_is_used",
     ),
     CodeMutation(
