--- a/packages/common/oakramp/common/http_channel.py
+++ b/packages/common/oakramp/common/http_channel.py
@@ -4,7 +4,10 @@
 of a daemon's start.
 """
 
+from __future__ import annotations
+
 from io import BytesIO
+from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote_to_bytes
 
 from twisted.web import http
@@ -13,6 +16,10 @@
 from oakramp.common.errors import TooLargeError
 from oakramp.common.validation import pack_json
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IAddress
+    from twisted.python.failure import Failure
+
 
 class Request(http.Request):
     """Hands a complete request to `server`. Refuses a body that is too large while it arrives, before it fills memory
@@ -23,13 +30,13 @@
     _arrived = 0
     _closing = None
 
-    def gotLength(self, length):
+    def gotLength(self, length: int | None) -> None:
         """Called by twisted.web with the body's length, or None if it is not told beforehand."""
         if length is not None and length > self.body_limit:
             self._refuse()
         self.content = BytesIO()  # the limit bounds it, so it needs no file
 
-    def handleContentChunk(self, data):
+    def handleContentChunk(self, data: bytes) -> None:
         """Called by twisted.web with each part of the body."""
         self._arrived += len(data)
         if self._closing is not None:
@@ -39,7 +46,7 @@
             return
         super().handleContentChunk(data)
 
-    def requestReceived(self, command, path, version):
+    def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
         """Called by twisted.web at the end of the body; a refused request goes no further."""
         if self._closing is None:
             super().requestReceived(command, path, version)
@@ -48,23 +55,23 @@
             self._closing.cancel()
             self.channel.loseConnection()
 
-    def process(self):
+    def process(self) -> None:
         """Called by twisted.web once the whole request is here."""
         self.setHeader(b"date", http.datetimeToString())
         self.postpath = [unquote_to_bytes(segment) for segment in self.path[1:].split(b"/")]
         self.server.handle(self)
 
-    def write(self, data):
+    def write(self, data: bytes) -> None:
         """Writes a part of the response; to a HEAD request only its headers."""
         super().write(b"" if self.method == b"HEAD" else data)
 
-    def connectionLost(self, reason):
+    def connectionLost(self, reason: Failure) -> None:
         """Called by twisted.web when the caller is gone."""
         if self._closing is not None and self._closing.active():
             self._closing.cancel()
         super().connectionLost(reason)
 
-    def _refuse(self):
+    def _refuse(self) -> None:
         """What still comes is read and dropped for a while: closed with unread bytes, the connection would be reset,
         and that may overtake the answer."""
         body = pack_json(TooLargeError(f"body is over {self.body_limit} bytes").to_json()) + b"\n"
@@ -80,11 +87,11 @@
 
     noisy = False
 
-    def __init__(self, request_class, reactor):
+    def __init__(self, request_class: type[Request], reactor: Any) -> None:
         super().__init__(timeout=IDLE_CALLER_TIME, reactor=reactor)
         self._request_class = request_class
 
-    def buildProtocol(self, addr):
+    def buildProtocol(self, addr: IAddress) -> http.HTTPChannel:
         """A connection for requests of this class."""
         channel = super().buildProtocol(addr)
         channel.requestFactory = self._request_class
--- a/packages/common/oakramp/common/http_client.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -3,7 +3,10 @@
 A connection that is not shared keeps the verdict sharp: unless it was made, nothing has left.
 """
 
+from __future__ import annotations
+
 from collections import deque
+from typing import TYPE_CHECKING
 
 from twisted.internet import defer, error, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -28,23 +31,27 @@
 from oakramp.common.tcp_options import limit_unacknowledged
 from oakramp.common.validation import pack_json, parse_json
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IConsumer
+    from twisted.python.failure import Failure
+
 
 @implementer(IBodyProducer)
 class _Body:
     def __init__(self, data):
         self._data, self.length = data, len(data)
 
-    def startProducing(self, consumer):
+    def startProducing(self, consumer: IConsumer) -> defer.Deferred[None]:
         consumer.write(self._data)
         return defer.succeed(None)
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:
         pass
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:
         pass
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:
         pass
 
 
@@ -96,7 +103,7 @@
         self.ended = False
         self.whole = False
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         """Splits what arrives into lines; reading pauses while too many wait."""
         if self.ended:
             return
@@ -110,7 +117,7 @@
             self.transport.pauseProducing()
         self._wake()
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         """Ends the body; it is complete only if its last line was."""
         # A body cut off shows as another reason; a last line without its end does not count either way.
         self._end(bool(reason.check(ResponseDone)) and not self._rest)
@@ -125,7 +132,7 @@
             waiting, self._waiting = self._waiting, None
             waiting.callback(None)
 
-    async def next(self):
+    async def next(self) -> bytes | None:
         """The next line, or None once the body has ended."""
         if not self._lines and not self.ended:
             self._waiting = defer.Deferred()
@@ -137,7 +144,7 @@
             return line
         return None
 
-    def abort(self):
+    def abort(self) -> None:
         """Closes the connection, so that the other side learns that nobody listens any more."""
         self._end(False)
         transport = getattr(self.transport, "_producer", self.transport)
@@ -150,14 +157,14 @@
     def __init__(self, limit, outcome):
         self._limit, self._outcome, self._parts, self._size = limit, outcome, [], 0
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         self._size += len(data)
         if self._size > self._limit and not self._outcome.called:
             self._outcome.errback(TooLargeError(f"answer is over {self._limit} bytes", Verdict.MAYBE))
         if not self._outcome.called:
             self._parts.append(data)
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         if self._outcome.called:
             return
         if reason.check(ResponseDone):
@@ -173,7 +180,7 @@
         self._reactor, self._bind_host = reactor, bind_host
         self._pool = HTTPConnectionPool(reactor, persistent=False)
 
-    async def probe(self, address, time_left):
+    async def probe(self, address: str, time_left: float) -> None:
         """Opens a connection and closes it. Raises UnreachableError if none is made within `time_left` seconds."""
         host, port = split_address(address)
         bound = (self._bind_host, 0) if self._bind_host else None
