--- a/packages/gateway/oakramp/gateway/proxied_request.py
+++ b/packages/gateway/oakramp/gateway/proxied_request.py
@@ -1,4 +1,4 @@
-"""One raw request on its way through the relay, and its caller's leaving."""
+"""The state of one proxied request, and the handling of client disconnects."""
 
 from contextlib import contextmanager
 from dataclasses import dataclass, field
@@ -13,106 +13,111 @@
 
 @dataclass
 class ProxiedRequest:
-    """One request on its way. Invariants: `left` turns true before its first byte may reach a replica and stays so
-    until a replica promised that it did not run it; `tries` counts replicas that it was sent to."""
+    """The state of one request while it is handled.
+
+    Invariants: `may_have_run` becomes true before the first byte can reach a replica, and stays so until a replica
+    guarantees that it did not run the request; `attempts` counts the replicas that the request was sent to."""
 
     exchange: object
-    request: ProxyRequest  # what it names is in its tenant's scope
+    request: ProxyRequest  # the names in it are scoped to its tenant
     route: Route
     ends_at: float
     may_repeat: bool
-    left: bool = False
-    tries: int = 0
-    leave_by: float = float("inf")
-    tenant: Tenant | None = None  # None if there are none, or the route needs no key and the request has none
+    may_have_run: bool = False
+    attempts: int = 0
+    send_by: float = float("inf")
+    tenant: Tenant | None = None  # None without configured tenants, or for a request without a key on a keyless route
     excluded: set = field(default_factory=set)
     body: bytes = b""
     begins_program: bool = False  # whether it is the first turn of a program
-    finish_at: float = float("inf")  # when its program should be over, in monotonic seconds, if anybody said so
+    finish_at: float = float("inf")  # when its program should finish (monotonic seconds), if the client set a time
     affinity: str = ""
     service: str = ""
-    units: int = 0  # tokens in the events that were passed on
-    last_id: str = None  # of the events that the caller has
-    is_numbered: bool = True  # whether all of them with data have an id
+    tokens_sent: int = 0  # tokens in the events that were relayed
+    last_event_id: str = None  # id of the last event relayed to the client
+    has_event_ids: bool = True  # whether every relayed event with data has an id
     output: list = field(default_factory=list)
     output_size: int = 0
-    head: tuple = None
-    head_passed: bool = False
-    stages: dict = field(default_factory=dict)  # name -> when it was reached first (monotonic seconds)
-    replica_id: str | None = None  # the one it was placed at last
-    replica_load: float = 0.0  # requests there, as known when it was placed
-    sent_at: float = 0.0  # when its first byte was written to a replica last (monotonic seconds)
-    is_counted: bool = False  # in its tenant's usage
+    response_head: tuple = None
+    head_sent: bool = False
+    stages: dict = field(default_factory=dict)  # name -> when the request first reached it (monotonic seconds)
+    replica_id: str | None = None  # the replica that it was placed on last
+    replica_load: float = 0.0  # known number of requests on that replica at placement
+    sent_at: float = 0.0  # when the first byte was last written to a replica (monotonic seconds)
+    is_usage_counted: bool = False  # whether it was added to its tenant's usage
 
     @property
     def priority(self):
-        """Its tenant's, if that has one, else its route's."""
+        """The priority of its tenant, or that of its route if the tenant has none."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.route.priority
 
     @property
     def turn_id(self):
-        """The id under which the stores keep this turn."""
+        """The id under which this turn is kept in the stores."""
         return scoped_name(self.tenant, self.request.try_id)
 
-    def reached(self, stage, now):
-        """Notes that the request has come to this stage."""
+    def record_stage(self, stage, now):
+        """Records when the request first reached this stage."""
         self.stages.setdefault(stage, now)
 
 
 class ClientDisconnectedError(OakrampError):
-    """The caller went away, or takes its answer too slowly, and what was under way for it was given up."""
+    """The client disconnected, or reads its response too slowly, and its request was cancelled."""
 
     code = "callerGone"
 
 
 @contextmanager
-def when_gone(exchange, function):
-    """While inside, `function` is called as soon as the caller has gone; at once if it has."""
-    inside = [True]
+def on_client_disconnect(exchange, function):
+    """Within this context, calls `function` when the client disconnects, or immediately if it already has."""
+    active = [True]
 
-    def gone(result):
-        if inside:
+    def call_if_active(result):
+        if active:
             function()
         return result
 
-    exchange.gone.addCallback(gone)
+    exchange.gone.addCallback(call_if_active)
     try:
         yield
     finally:
-        inside.clear()
+        active.clear()
 
 
-def check_caller(exchange):
-    """Before anything more is done for a caller."""
+def check_client_connected(exchange):
+    """Raises ClientDisconnectedError if the client has disconnected, so that no more work is done for it."""
     if exchange.is_gone:
-        raise ClientDisconnectedError("the caller went away", Verdict.NO)
+        raise ClientDisconnectedError("the client disconnected", Verdict.NO)
+
 
+def is_cancelled_on_disconnect(proxied_request):
+    """Whether the request is cancelled on its replica when the client disconnects.
 
-def stops_with_caller(proxied_request):
-    """What may be repeated, and a stream that nobody reads, is dropped at its replica. A call that runs only once runs
-    to its end: breaking it off undoes nothing, and the answer to a key is kept for its repeat."""
+    Safe requests, which can be repeated, and streams, which no client reads any more, are cancelled. A call that must
+    run at most once is left to finish: cancelling it would not undo its effects, and the response to an idempotency key
+    is kept for a repeat."""
     return proxied_request.route.kind in ("safe", "stream")
 
 
 def may_repeat(route):
-    """Whether the route lets a request run more than once."""
+    """Whether requests on this route may run more than once."""
     return route.kind == "safe" or (route.kind == "stream" and route.resumable)
 
 
-def remaining(reactor, proxied_request):
-    """Seconds that are left of the request's time; an error if none are."""
-    left = proxied_request.ends_at - reactor.seconds()
-    if left <= 0:
-        raise DeadlineExceededError("no time is left", retry_after=None)
-    return left
+def remaining_time(reactor, proxied_request):
+    """Seconds until the request's deadline; DeadlineExceededError if it has passed."""
+    remaining_s = proxied_request.ends_at - reactor.seconds()
+    if remaining_s <= 0:
+        raise DeadlineExceededError("the deadline of the request has passed", retry_after=None)
+    return remaining_s
 
 
-def remaining_run(reactor, proxied_request):
-    """Seconds within which what runs already must end."""
+def remaining_run_time(reactor, proxied_request):
+    """Seconds within which a request that is already running must finish; at least 0.001."""
     return max(0.001, proxied_request.ends_at - reactor.seconds())
 
 
-def print_of(*parts):
+def fingerprint_of(*parts):
     return blake2b(b"\0".join(parts), digest_size=16).hexdigest()
--- a/packages/gateway/oakramp/gateway/proxy_responses.py
+++ b/packages/gateway/oakramp/gateway/proxy_responses.py
@@ -1,15 +1,17 @@
-"""Replicas' answers on their way to the callers: gathered whole while they are small, passed on as they come."""
+"""Relays replicas' responses to clients: small ones are buffered whole, larger ones are passed on as they arrive."""
 
 from oakramp.common.constants import ANSWER_HELD
 from oakramp.common.errors import IncompleteResponseError, OutcomeUnknownError, Verdict
 from oakramp.common.tasks import within
-from oakramp.gateway.proxied_request import ClientDisconnectedError, remaining_run
+from oakramp.gateway.proxied_request import ClientDisconnectedError, remaining_run_time
 
 NOT_MODIFIED = 304
 
 
-class LocalResponses:
-    """`limits()` gives the body_bytes in force. Each method ends within the passage's time, whoever is slow."""
+class ResponseRelay:
+    """`limits()` returns the limits in force, with `body_bytes`.
+
+    Each method ends by the request's deadline, whether the replica or the client is slow."""
 
     def __init__(self, reactor, dialect, limits):
         self._reactor, self._dialect, self._limits = reactor, dialect, limits
@@ -17,77 +19,80 @@
     def _body_limit(self):
         return max(ANSWER_HELD, self._limits().body_bytes)
 
-    async def gather(self, proxied_request, answer, instance):
-        """The answer, whole if it is small: a small one that is cut off was not passed on and may be asked again."""
+    async def read_buffered(self, proxied_request, response, instance):
+        """Reads up to ANSWER_HELD bytes, so that a small response is complete before any of it is relayed.
+
+        A small response that is cut off has not been relayed at all, so its request may be retried. Returns the status,
+        the headers, the parts read and the response with the rest of the body, or None in its place at the end."""
         parts, size = [], 0
         while size < ANSWER_HELD:
             part = await within(
                 self._reactor,
-                remaining_run(self._reactor, proxied_request),
-                answer.next(),
-                OutcomeUnknownError("the replica's answer did not end in time"),
+                remaining_run_time(self._reactor, proxied_request),
+                response.next(),
+                OutcomeUnknownError("the replica's response did not end before the deadline"),
             )
             if part is None:
-                return answer.status, self._dialect.answer_headers(answer.headers), parts, None
+                return response.status, self._dialect.answer_headers(response.headers), parts, None
             parts.append(part)
             size += len(part)
-        return answer.status, self._dialect.answer_headers(answer.headers), parts, answer
+        return response.status, self._dialect.answer_headers(response.headers), parts, response
 
-    async def gather_whole(self, proxied_request, answer, instance):
-        """The answer with its whole body."""
-        status, headers, parts, rest = await self.gather(proxied_request, answer, instance)
+    async def read_whole(self, proxied_request, response, instance):
+        """Returns the status, the headers and the whole body."""
+        status, headers, parts, rest = await self.read_buffered(proxied_request, response, instance)
         if rest is not None:
             parts.append(
                 await within(
                     self._reactor,
-                    remaining_run(self._reactor, proxied_request),
+                    remaining_run_time(self._reactor, proxied_request),
                     rest.read(self._body_limit()),
-                    OutcomeUnknownError("the replica's answer did not end in time"),
+                    OutcomeUnknownError("the replica's response did not end before the deadline"),
                 )
             )
         return status, headers, b"".join(parts)
 
-    async def relay(self, proxied_request, answer, instance):
-        """Passes the answer on, a long one as it comes."""
-        status, headers, parts, rest = await self.gather(proxied_request, answer, instance)
+    async def relay(self, proxied_request, response, instance):
+        """Relays the response; one that is longer than ANSWER_HELD is streamed."""
+        status, headers, parts, rest = await self.read_buffered(proxied_request, response, instance)
         if proxied_request.exchange.method == "HEAD" or status == NOT_MODIFIED:
-            proxied_request.exchange.start(status, headers, answer.length)  # that of the body that isn't sent
+            proxied_request.exchange.start(status, headers, response.length)  # the length of the body that is omitted
             proxied_request.exchange.finish()
             return
-        await self._pass_on(proxied_request, status, headers, parts, rest)
+        await self._write_response(proxied_request, status, headers, parts, rest)
 
-    async def _pass_on(self, proxied_request, status, headers, parts, answer):
+    async def _write_response(self, proxied_request, status, headers, parts, response):
         exchange = proxied_request.exchange
-        if answer is None:
+        if response is None:
             exchange.reply(status, headers, b"".join(parts))
             return
-        exchange.start(status, headers, answer.length)
+        exchange.start(status, headers, response.length)
         try:
             for part in parts:
                 exchange.write(part)
-            while (part := await self.next_part(proxied_request, answer)) is not None:
+            while (part := await self.next_part(proxied_request, response)) is not None:
                 exchange.write(part)
                 if exchange.is_full:
-                    await self.wait_writable(proxied_request, answer)
+                    await self.wait_writable(proxied_request, response)
         except BaseException:
-            answer.abort()
+            response.abort()
             raise
         exchange.finish()
 
-    def next_part(self, proxied_request, answer):
-        """Fires with what comes next of an answer that is being passed on; with None at its end."""
-        late = IncompleteResponseError("the replica's answer did not end in time")
-        if self._reactor.seconds() >= proxied_request.ends_at and not answer.has_ended:
-            raise late  # also if there is always something to pass on
-        return within(self._reactor, remaining_run(self._reactor, proxied_request), answer.next(), late)
+    def next_part(self, proxied_request, response):
+        """A deferred that fires with the next part of a response that is being relayed, or with None at its end."""
+        timeout_error = IncompleteResponseError("the replica's response did not end before the deadline")
+        if self._reactor.seconds() >= proxied_request.ends_at and not response.has_ended:
+            raise timeout_error  # even if the replica never pauses, so that no single wait times out
+        return within(self._reactor, remaining_run_time(self._reactor, proxied_request), response.next(), timeout_error)
 
-    async def wait_writable(self, proxied_request, answer):
-        """Holds the replica up while its answer's caller is slow; the rest of one that has ended is here already."""
-        if not answer.has_ended:
-            late = ClientDisconnectedError("the caller did not take its answer in time", Verdict.MAYBE)
+    async def wait_writable(self, proxied_request, response):
+        """Pauses the relaying while the client reads slowly; a response that has ended is already buffered."""
+        if not response.has_ended:
+            timeout_error = ClientDisconnectedError("the client did not read its response in time", Verdict.MAYBE)
             await within(
                 self._reactor,
-                remaining_run(self._reactor, proxied_request),
+                remaining_run_time(self._reactor, proxied_request),
                 proxied_request.exchange.wait_writable(),
-                late,
+                timeout_error,
             )
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -1,4 +1,4 @@
-"""Streams and turns: budgets admitted, chains recalled, events passed on, turns retained."""
+"""Streams and turns: budget admission, reading of the turn history, relaying of events, retention of turns."""
 
 import math
 
@@ -13,43 +13,43 @@
     OverloadedError,
     QuorumUnavailableError,
 )
-from oakramp.gateway.proxied_request import print_of, remaining
+from oakramp.gateway.proxied_request import fingerprint_of, remaining_time
 from oakramp.gateway.request_losses import ADMITTED, FIRST_EVENT, HISTORY_READ, LAST_EVENT
 from oakramp.gateway.settler import SpendReporter
 from oakramp.store.turns import Record
 
 
-class Streams:
-    """The way of a request whose answer is a stream of events."""
+class StreamHandler:
+    """Handles requests on routes whose responses are event streams."""
 
-    def __init__(self, gate, dialect, router, carrier, answers, turn_client, placement):
-        self._gate, self._node, self._reactor, self._owners = gate, gate.node, gate.node.reactor, gate.leaders
-        self._dialect, self._router, self._carrier, self._answers = dialect, router, carrier, answers
-        self._turns, self._placement = turn_client, placement
-        self._settler = SpendReporter(gate)
+    def __init__(self, gate, dialect, router, forwarder, responses, turn_client, placement):
+        self._gate, self._node, self._reactor, self._leaders = gate, gate.node, gate.node.reactor, gate.leaders
+        self._dialect, self._router, self._forwarder, self._responses = dialect, router, forwarder, responses
+        self._turn_client, self._placement = turn_client, placement
+        self._spend_reporter = SpendReporter(gate)
 
     async def serve(self, proxied_request):
         request, route = proxied_request.request, proxied_request.route
-        recalling = None
-        self._carrier.check_may_begin(proxied_request)
-        if route.retained and self._turns.is_full:
-            # Before it runs: afterwards its answer could only be cut off.
-            raise OverloadedError("the stores have no room for more until old turns go", retry_after=FULL_RETRY)
+        pending_history = None
+        self._forwarder.check_may_begin(proxied_request)
+        if route.retained and self._turn_client.is_full:
+            # Checked before the turn runs: afterwards the response could only be cut off.
+            raise OverloadedError("the stores are full until old turns expire", retry_after=FULL_RETRY)
         if route.retained and request.previous_turn:
-            recalling = defer.ensureDeferred(
-                self._outcome_of(
-                    self._turns.read_history(
-                        request.previous_turn, remaining(self._reactor, proxied_request) * PATIENCE_SHARE
+            pending_history = defer.ensureDeferred(
+                self._capture_outcome(
+                    self._turn_client.read_history(
+                        request.previous_turn, remaining_time(self._reactor, proxied_request) * PATIENCE_SHARE
                     )
                 )
             )
         if request.budget is None or not request.program:
-            await self._turn(proxied_request, recalling)
+            await self._serve_turn(proxied_request, pending_history)
             return
-        await self._admitted(proxied_request, recalling)
+        await self._serve_with_budget(proxied_request, pending_history)
 
     @staticmethod
-    async def _outcome_of(work):
+    async def _capture_outcome(work):
         try:
             return True, await work
         except OakrampError as error:
@@ -58,50 +58,54 @@
     def _tokens_per_event(self, service):
         return self._router.services.get(service, {}).get("tokens_per_event") or 1
 
-    def _most_units(self, proxied_request):
-        """The most that the turn may put out at any service of its route, in whole events."""
+    def _max_output_tokens(self, proxied_request):
+        """The most tokens that the turn may output at any service of its route, rounded up to whole events."""
         per_event = [self._tokens_per_event(service) for service, weight in proxied_request.route.backends if weight]
-        return max(max(1, math.ceil((proxied_request.request.tokens_most or 1) / one)) * one for one in per_event)
+        return max(
+            max(1, math.ceil((proxied_request.request.tokens_most or 1) / event_tokens)) * event_tokens
+            for event_tokens in per_event
+        )
 
-    async def _admitted(self, proxied_request, recalling):
-        """Reserves the most that the turn may put out; whatever happens after, what came out is settled."""
+    async def _serve_with_budget(self, proxied_request, pending_history):
+        """Reserves the most that the turn may output; its actual output is settled in every case."""
         request = proxied_request.request
-        reserve = self._most_units(proxied_request)
+        reserve = self._max_output_tokens(proxied_request)
         self._gate.check_settling()
-        key = "allowance/" + print_of(request.program.encode())
+        key = "allowance/" + fingerprint_of(request.program.encode())
         try:
             state = (
-                await self._owners.call(
+                await self._leaders.call(
                     key,
                     "admit",
                     {"turn": request.try_id, "reserve": reserve, "limit": request.budget, "gate": self._node.node_id},
-                    remaining(self._reactor, proxied_request) * PATIENCE_SHARE,
+                    remaining_time(self._reactor, proxied_request) * PATIENCE_SHARE,
                 )
             )["state"]
         except OutcomeUnknownError as error:
-            self._settler.settle(key, request.try_id, 0)
-            raise QuorumUnavailableError(f"the budget's owner did not answer: {error.reason}") from error
+            self._spend_reporter.settle(key, request.try_id, 0)
+            raise QuorumUnavailableError(f"the owner of the budget did not respond: {error.reason}") from error
         if state != "admitted":
-            raise BudgetExhaustedError("the program has put out all of its budget")
-        proxied_request.reached(ADMITTED, self._reactor.seconds())
+            raise BudgetExhaustedError("the program has used all of its budget")
+        proxied_request.record_stage(ADMITTED, self._reactor.seconds())
         try:
-            await self._turn(proxied_request, recalling)
+            await self._serve_turn(proxied_request, pending_history)
         finally:
-            # What was passed on counts, and all of it once a run may have passed on more than we know.
-            self._settler.settle(key, request.try_id, proxied_request.units)
-
-    async def _turn(self, proxied_request, recalling):
-        recalled = None
-        if recalling is not None:
-            ok, recalled = await recalling
-            if not ok:
-                raise recalled
-            proxied_request.reached(HISTORY_READ, self._reactor.seconds())
-            history = b"".join(part for record in recalled.chain for part in (record.input, record.output))
+            # The tokens in relayed events count. If this gateway is lost, the owner of the budget counts the whole
+            # reserve, since the number of tokens that were relayed is then unknown.
+            self._spend_reporter.settle(key, request.try_id, proxied_request.tokens_sent)
+
+    async def _serve_turn(self, proxied_request, pending_history):
+        turn_history = None
+        if pending_history is not None:
+            is_success, turn_history = await pending_history
+            if not is_success:
+                raise turn_history
+            proxied_request.record_stage(HISTORY_READ, self._reactor.seconds())
+            history = b"".join(part for record in turn_history.chain for part in (record.input, record.output))
             proxied_request.body = history + proxied_request.body
-        if not await self._carrier.forward(proxied_request, self._pass_events):
+        if not await self._forwarder.forward(proxied_request, self._relay_events):
             return
-        proxied_request.reached(LAST_EVENT, self._reactor.seconds())
+        proxied_request.record_stage(LAST_EVENT, self._reactor.seconds())
         if proxied_request.route.retained:
             record = Record(
                 proxied_request.turn_id,
@@ -111,48 +115,51 @@
                 b"".join(proxied_request.output),
             )
             try:
-                await self._turns.retain(
+                await self._turn_client.retain(
                     record.session,
                     record,
-                    recalled,
+                    turn_history,
                     max(0.5, proxied_request.ends_at - self._reactor.seconds()),
                     proxied_request.route.retain_s,
                 )
             except OakrampError as error:
-                raise IncompleteResponseError(f"the turn ran, but is not surely kept: {error.reason}") from error
+                raise IncompleteResponseError(f"the turn ran, but may not have been stored: {error.reason}") from error
         proxied_request.exchange.finish()
 
-    async def _pass_events(self, proxied_request, answer, instance):
-        """Passes events on as they come, whole ones only; the end of the answer is left to who calls. False if the
-        replica's answer was no stream: that has been passed on whole."""
+    async def _relay_events(self, proxied_request, response, instance):
+        """Relays complete events as they arrive; finishing the response is left to the code that calls `forward`.
+
+        Returns False if the replica's response was not a stream; it has then been relayed to its end."""
         splitter = self._dialect.event_splitter()
-        is_stream = answer.status < 300
+        is_stream = response.status < 300
         if not is_stream:
-            if proxied_request.head_passed:
-                raise IncompleteResponseError(f"the replica that was to go on answered {answer.status}")
-            await self._answers.relay(proxied_request, answer, instance)
+            if proxied_request.head_sent:
+                raise IncompleteResponseError(f"the replica that was to resume the stream responded {response.status}")
+            await self._responses.relay(proxied_request, response, instance)
             return False
-        if not proxied_request.head_passed:
-            proxied_request.head = (answer.status, self._dialect.stream_headers(answer.headers))
+        if not proxied_request.head_sent:
+            proxied_request.response_head = (response.status, self._dialect.stream_headers(response.headers))
         while True:
-            part = await self._answers.next_part(proxied_request, answer)
+            part = await self._responses.next_part(proxied_request, response)
             if part is None:
                 break
             events = splitter.feed(part)
             if events:
-                self._note_first(proxied_request, instance)
-                self._pass_on(proxied_request, events, self._tokens_per_event(instance.row["pool"]))
+                self._record_first_event(proxied_request, instance)
+                self._write_events(proxied_request, events, self._tokens_per_event(instance.row["pool"]))
                 if proxied_request.exchange.is_full:
-                    await self._answers.wait_writable(proxied_request, answer)
+                    await self._responses.wait_writable(proxied_request, response)
         if splitter.rest.strip():
-            raise IncompleteResponseError("the stream ended within an event")
-        if not proxied_request.head_passed:
-            self._begin(proxied_request)
+            raise IncompleteResponseError("the stream ended in the middle of an event")
+        if not proxied_request.head_sent:
+            self._start_response(proxied_request)
         return True
 
-    def _note_first(self, proxied_request, instance):
-        """Counts the first event of a request that one replica alone has had: a later one's says nothing of its cache."""
-        if proxied_request.head_passed or proxied_request.tries > 1:
+    def _record_first_event(self, proxied_request, instance):
+        """Records the first event of a request that was sent to one replica only.
+
+        After a retry the delay of the first event says nothing about the cache of the replica that sent it."""
+        if proxied_request.head_sent or proxied_request.attempts > 1:
             return
         waited = self._reactor.seconds() - proxied_request.exchange.received_at
         self._placement.note(
@@ -163,43 +170,43 @@
             waited > proxied_request.route.target_s,
         )
 
-    def _begin(self, proxied_request):
-        proxied_request.head_passed = True
-        proxied_request.reached(FIRST_EVENT, self._reactor.seconds())
+    def _start_response(self, proxied_request):
+        proxied_request.head_sent = True
+        proxied_request.record_stage(FIRST_EVENT, self._reactor.seconds())
         self._gate.usage.count(proxied_request, proxied_request.stages[FIRST_EVENT])
-        status, headers = proxied_request.head
+        status, headers = proxied_request.response_head
         proxied_request.exchange.start(status, headers, None)
 
-    def _pass_on(self, proxied_request, events, tokens_per_event):
-        """Events that were passed on already by an earlier replica are left out."""
+    def _write_events(self, proxied_request, events, tokens_per_event):
+        """Writes events to the client, except those that were already relayed from an earlier replica."""
         chunks = []
         for raw, event_id, data in events:
             if (
-                proxied_request.last_id is not None
+                proxied_request.last_event_id is not None
                 and event_id is not None
-                and not _follows(event_id, proxied_request.last_id)
+                and not _is_after(event_id, proxied_request.last_event_id)
             ):
                 continue
             chunks.append(raw)
             if event_id is not None:
-                proxied_request.last_id = event_id
-                proxied_request.units += tokens_per_event
+                proxied_request.last_event_id = event_id
+                proxied_request.tokens_sent += tokens_per_event
             elif data is not None:
-                proxied_request.is_numbered = False
+                proxied_request.has_event_ids = False
             if proxied_request.route.retained and data is not None:
                 proxied_request.output_size += len(data) + 1
                 if proxied_request.output_size > TURN_OUTPUT_LIMIT:
-                    raise IncompleteResponseError("the turn put out more than can be kept")
+                    raise IncompleteResponseError("the output of the turn exceeds the size that can be stored")
                 proxied_request.output += (data, b"\n")
         if not chunks:
             return
-        if not proxied_request.head_passed:
-            self._begin(proxied_request)
+        if not proxied_request.head_sent:
+            self._start_response(proxied_request)
         proxied_request.exchange.write(b"".join(chunks))
 
 
-def _follows(event_id, last_id):
+def _is_after(event_id, last_event_id):
     try:
-        return int(event_id) > int(last_id)
+        return int(event_id) > int(last_event_id)
     except ValueError:
-        return event_id != last_id
+        return event_id != last_event_id
--- a/packages/gateway/oakramp/gateway/proxy_types.py
+++ b/packages/gateway/oakramp/gateway/proxy_types.py
@@ -1,15 +1,16 @@
-"""What the relay knows of a raw request and of a replica's answer, in the product's words. A dialect reads them from
-headers; nothing here depends on how they are spelled there."""
+"""The metadata of a proxied request and of a replica's response, independent of the platform's header names, from
+which a dialect reads them."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyRequest:
-    """Invariant: `fault` is None exactly if every field that was sent could be read; what was not sent is None."""
+    """Invariants: `fault` is None if and only if every field that was sent could be parsed; a field that was not sent
+    is None."""
 
     try_id: str = ""
-    api_key: str | None = field(default=None, repr=False)  # a secret: never logged, never passed on
+    api_key: str | None = field(default=None, repr=False)  # a secret: never logged, never sent to a replica
     time_left_s: float | None = None
     operation_key: str | None = None
     program: str | None = None
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyResponse:
-    """`not_run` is the replica's own promise that it did not run the request and never will."""
+    """`not_run` is the replica's guarantee that it did not run the request and never will."""
 
     not_run: bool = False
     load: tuple | None = None  # requests running, requests waiting, slots
--- a/packages/gateway/oakramp/gateway/request_losses.py
+++ b/packages/gateway/oakramp/gateway/request_losses.py
@@ -72,7 +72,7 @@
             placed_ms=after_ms(PLACED),
             first_ms=after_ms(FIRST_EVENT),
             last_ms=after_ms(LAST_EVENT),
-            tries=proxied_request.tries,
+            tries=proxied_request.attempts,
             replica=proxied_request.replica_id or "none",
             load=round(proxied_request.replica_load, 1),
             finish_ms=-1 if math.isinf(proxied_request.finish_at) else after(proxied_request.finish_at),
--- a/packages/gateway/oakramp/gateway/usage_counter.py
+++ b/packages/gateway/oakramp/gateway/usage_counter.py
@@ -82,9 +82,9 @@
 
     def count(self, proxied_request: ProxiedRequest, began_at: float) -> None:
         """Counts a request that began to run at this time (monotonic seconds), unless it is counted already."""
-        if proxied_request.is_counted or proxied_request.tenant is None:
+        if proxied_request.is_usage_counted or proxied_request.tenant is None:
             return
-        proxied_request.is_counted = True
+        proxied_request.is_usage_counted = True
         if self._awaits_time:
             self._pending.append((began_at, proxied_request.tenant.name))
         else:
--- a/packages/testbed/oakramp/testbed/ablation.py
+++ b/packages/testbed/oakramp/testbed/ablation.py
@@ -47,14 +47,17 @@
         "begun programs first",
         "a program that has begun is not refused in the middle",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "(begins, priority),",
+        "(begins_program, priority),",
         "(False, priority),",
     ),
     Ablation(
         "stalled retry",
         "a repeatable request leaves a mute replica",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "        if not proxied_request.may_repeat or proxied_request.tries + 1 >= proxied_request.route.max_attempts:",
+        (
+            "        if not proxied_request.may_repeat "
+            "or proxied_request.attempts + 1 >= proxied_request.route.max_attempts:"
+        ),
         "        if True:",
     ),
     Ablation(
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -32,7 +32,7 @@
     CodeMutation(
         "only turns make a program's home",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        'if proxied_request.route.kind == "stream":  # a program\'s other calls are no turns, and go elsewhere',
+        'if proxied_request.route.kind == "stream":  # other calls of a program use other replicas',
         "if True:",
         "test_relay_calls.ProgramsOfCalls.test_only_turns_make_a_home",
     ),
@@ -214,15 +214,15 @@
     CodeMutation(
         "a promise needs the replica's word",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "        if answer.status in self._dialect.promise_statuses:",
+        "        if response.status in self._dialect.promise_statuses:",
         "        if False:",
         "test_relay_calls.Promises.test_a_refusal_without_the_replicas_word_is_no_promise",
     ),
     CodeMutation(
         "a caller that left waits for no room",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "with when_gone(proxied_request.exchange, acquiring.cancel):",
-        "with when_gone(proxied_request.exchange, lambda: None):",
+        "with on_client_disconnect(proxied_request.exchange, acquiring.cancel):",
+        "with on_client_disconnect(proxied_request.exchange, lambda: None):",
         "test_relay_calls.Leaving.test_while_it_waits_for_room",
     ),
     CodeMutation(
@@ -235,15 +235,15 @@
     CodeMutation(
         "nothing is sent once its caller left while connecting",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "if not proxied_request.left or stops_with_caller(proxied_request):",
-        "if stops_with_caller(proxied_request):",
+        "if not proxied_request.may_have_run or is_cancelled_on_disconnect(proxied_request):",
+        "if is_cancelled_on_disconnect(proxied_request):",
         "test_relay_calls.Leaving.test_while_its_connection_is_being_made",
     ),
     CodeMutation(
         "a replica stops when its caller leaves in the middle of an answer",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "                answer.abort()\n\n        try:\n            with when_gone(",
-        "                pass\n\n        try:\n            with when_gone(",
+        "                response.abort()\n\n        try:\n            with on_client_disconnect(",
+        "                pass\n\n        try:\n            with on_client_disconnect(",
         "test_relay_calls.Leaving.test_in_the_middle_of_a_long_answer",
     ),
     CodeMutation(
@@ -256,7 +256,7 @@
     CodeMutation(
         "a long answer that has begun is not begun again",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "if proxied_request.exchange.begun and not (proxied_request.head_passed and proxied_request.is_numbered):",
+        "if proxied_request.exchange.begun and not (proxied_request.head_sent and proxied_request.has_event_ids):",
         "if False:",
         "test_relay_calls.Streams.test_a_long_failure_that_is_cut_is_not_begun_again",
     ),
@@ -264,7 +264,7 @@
         "a long answer to a key ends with the time",
         "gateway/oakramp/gateway/proxy_responses.py",
         (
-            "                    remaining_run(self._reactor, proxied_request),\n                    "
+            "                    remaining_run_time(self._reactor, proxied_request),\n                    "
             "rest.read(self._body_limit()),"
         ),
         "                    1e9,\n                    rest.read(self._body_limit()),",
@@ -287,21 +287,21 @@
     CodeMutation(
         "events count by their own service",
         "gateway/oakramp/gateway/proxy_streams.py",
-        'self._pass_on(proxied_request, events, self._tokens_per_event(instance.row["pool"]))',
-        "self._pass_on(proxied_request, events, self._tokens_per_event(proxied_request.route.backends[0][0]))",
+        'self._write_events(proxied_request, events, self._tokens_per_event(instance.row["pool"]))',
+        "self._write_events(proxied_request, events, self._tokens_per_event(proxied_request.route.backends[0][0]))",
         "test_relay_calls.Budgets.test_events_count_by_the_service_that_put_them_out",
     ),
     CodeMutation(
         "a caller that resumes has had its events",
         "gateway/oakramp/gateway/proxy.py",
-        "            proxied_request.last_id = request.resume_after",
-        "            proxied_request.last_id = None",
+        "            proxied_request.last_event_id = request.resume_after",
+        "            proxied_request.last_event_id = None",
         "test_relay_calls.Streams.test_a_client_that_resumes_gets_no_event_again",
     ),
     CodeMutation(
         "what has no number is not gone on with",
         "gateway/oakramp/gateway/proxy_streams.py",
-        "                proxied_request.is_numbered = False",
+        "                proxied_request.has_event_ids = False",
         "                pass",
         "test_relay_calls.Streams.test_what_has_no_number_is_not_gone_on_with",
     ),
@@ -378,7 +378,7 @@
     CodeMutation(
         "a relayed call's maybe is not unsaid",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "                raise (unsure or error) from None\n            try:",
+        "                raise (ambiguous_error or error) from None\n            try:",
         "                raise error from None\n            try:",
         "test_relay_worlds.Worlds.test_seeds",
     ),
@@ -399,7 +399,7 @@
     CodeMutation(
         "events passed on are not passed on again",
         "gateway/oakramp/gateway/proxy_streams.py",
-        "                and not _follows(event_id, proxied_request.last_id)\n",
+        "                and not _is_after(event_id, proxied_request.last_event_id)\n",
         "                and False\n",
         "test_relay_worlds.Worlds.test_seeds",
     ),
@@ -427,7 +427,7 @@
     CodeMutation(
         "an answer that never pauses ends with the time",
         "gateway/oakramp/gateway/proxy_responses.py",
-        "if self._reactor.seconds() >= proxied_request.ends_at and not answer.has_ended:",
+        "if self._reactor.seconds() >= proxied_request.ends_at and not response.has_ended:",
         "if False:",
         "test_relay_calls.Deadlines.test_an_answer_that_never_pauses_ends_with_the_time",
     ),
@@ -435,9 +435,9 @@
         "a slow caller holds its replica no longer than its time",
         "gateway/oakramp/gateway/proxy_responses.py",
         (
-            "await within(\n                self._reactor,\n                remaining_run(self._reactor, "
+            "await within(\n                self._reactor,\n                remaining_run_time(self._reactor, "
             "proxied_request),\n                proxied_request.exchange.wait_writable(),\n                "
-            "late,\n            )"
+            "timeout_error,\n            )"
         ),
         "await proxied_request.exchange.wait_writable()",
         (
@@ -1644,7 +1644,7 @@
     CodeMutation(
         "who is not sure of the configuration calls no key unknown",
         "gateway/oakramp/gateway/proxy.py",
-        "            raise QuorumUnavailableError(why)",
+        "            raise QuorumUnavailableError(reason)",
         "            pass",
         "test_tenant_keys.Authentication.test_who_is_not_sure_of_the_configuration_does_not_call_a_key_unknown",
     ),
