--- a/packages/gateway/oakramp/gateway/authentication.py
+++ b/packages/gateway/oakramp/gateway/authentication.py
@@ -1,6 +1,6 @@
-"""Whose a request is, by the key that it carries and the configuration in force.
+"""Determines the tenant of a request from its API key and the configuration in force.
 
-Invariants: a request without a known key reaches no replica unless its route needs none; no key is logged.
+Invariants: a request without a known key reaches no replica unless its route needs no key; no key is logged.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Authenticator:
-    """Finds the tenants of requests, and holds to them while the requests wait."""
+    """Finds the tenants of requests, and checks them again while the requests wait."""
 
     def __init__(self, reactor: Any, router: Router, log: EventLogger) -> None:
         self._router = router
@@ -27,42 +27,42 @@
         self._log_limit = LogRateLimit(reactor, REJECTED_LOG_PAUSE)
 
     def tenant_of(self, api_key: str | None, route: Route) -> Tenant | None:
-        """The tenant that has the key, or None for a request without one that needs none.
+        """The tenant that holds the key, or None for a request without a key on a route that needs none.
 
-        To be asked only while the configuration is sure to be the newest. A key that nobody has is no better on a route
-        that needs none: its client takes itself for somebody.
+        Must be called only while the configuration is known to be the latest. An unknown key is rejected on a route
+        that needs no key as well, because its client expects to be authenticated.
 
         Raises:
-            UnauthenticatedError: the key is not known, or there is none and the route needs one.
+            UnauthenticatedError: the key is unknown, or it is missing and the route requires one.
         """
         tenant = self._router.tenants.find(api_key)
-        if tenant is None and self._is_refused(api_key, route):
-            self._note()
-            raise UnauthenticatedError("a key of a tenant is needed here, alone")
+        if tenant is None and self._is_rejected(api_key, route):
+            self._log_rejection()
+            raise UnauthenticatedError("exactly one API key of a known tenant is required")
         return tenant
 
-    def renew(self, proxied_request: ProxiedRequest, route: Route) -> None:
-        """Takes over the request's tenant as it stands now. UnauthenticatedError if its key was taken away.
+    def refresh_tenant(self, proxied_request: ProxiedRequest, route: Route) -> None:
+        """Updates the request's tenant from the configuration in force.
 
-        What the request read and claimed so far is its first tenant's: if the key is another's now, it has to come
-        again."""
+        Raises UnauthenticatedError if its key was revoked. If the key now belongs to another tenant, the client has to
+        retry, since the request has already read and claimed state of its first tenant."""
         tenant = self.tenant_of(proxied_request.request.api_key, route)
         if _name_of(tenant) != _name_of(proxied_request.tenant):
-            raise OverloadedError("the key became another tenant's", retry_after=RETRY_AFTER_LEAST)
+            raise OverloadedError("the API key now belongs to another tenant", retry_after=RETRY_AFTER_LEAST)
         proxied_request.tenant = tenant
 
     def is_current(self, proxied_request: ProxiedRequest) -> bool:
-        """Whether the request may be sent for its tenant by the configuration in force, on its present route."""
+        """Whether the configuration in force allows the request to be sent for its tenant on its current route."""
         api_key = proxied_request.request.api_key
         tenant = self._router.tenants.find(api_key)
-        if tenant is None and self._is_refused(api_key, proxied_request.route):
+        if tenant is None and self._is_rejected(api_key, proxied_request.route):
             return False
         return tenant == proxied_request.tenant
 
-    def _is_refused(self, unknown_key: str | None, route: Route) -> bool:
+    def _is_rejected(self, unknown_key: str | None, route: Route) -> bool:
         return self._router.tenants.is_required and (unknown_key is not None or not route.is_keyless)
 
-    def _note(self) -> None:
+    def _log_rejection(self) -> None:
         left_out = self._log_limit.take()
         if left_out is None:
             return
--- a/packages/gateway/oakramp/gateway/forwarding.py
+++ b/packages/gateway/oakramp/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Placing and carrying, shared by turns and plain calls."""
+"""Places requests on replicas and forwards them; shared by turns and plain calls."""
 
 import json
 
@@ -22,25 +22,27 @@
         self._client, self._metrics = web_client, metrics
 
     async def forward(self, request, may_repeat, send):
-        """Places the request, and calls `send(replica, lastCheck)`; on a no it goes on to another replica, on
-        a maybe only if `mayRepeat()` says that the request may be repeated."""
-        unsure = None
+        """Places the request and calls `send(replica, check_before_send)`.
+
+        After a failure with verdict no, retries on another replica; after one with verdict maybe, only if
+        `may_repeat()` returns true."""
+        ambiguous_error = None
         for attempt in range(CARRY_TRIES):
             try:
-                replica = await self._place_fresh(request)
+                replica = await self._place_on_current_binding(request)
             except OakrampError as error:
-                raise _at_least(unsure, error) from None
+                raise _keep_ambiguous(ambiguous_error, error) from None
             placed_at = self._node.reactor.seconds()
             try:
-                return await send(replica, lambda: self._last_check(request, replica))
+                return await send(replica, lambda: self._check_before_send(request, replica))
             except OakrampError as error:
                 if error.verdict is Verdict.NO:
                     self._placer.refused(replica)
                 self._metrics.count("carry_failed", verdict=error.verdict.value)
                 if attempt == CARRY_TRIES - 1 or not self._may_retry(request, may_repeat, error):
-                    raise _at_least(unsure, error) from error
+                    raise _keep_ambiguous(ambiguous_error, error) from error
                 if error.verdict is not Verdict.NO:
-                    unsure = error
+                    ambiguous_error = error
                 self._node.log.info(
                     "forward_retried",
                     replica=replica.row["id"],
@@ -56,14 +58,16 @@
             may_repeat() and self._node.reactor.seconds() < request.wait_until and not request.call.is_gone
         )
 
-    def _current(self, request):
+    def _current_binding(self, request):
         return self._bindings.find(request.partner, request.binding_name, request.kind)
 
-    async def _place_fresh(self, request):
-        """A replica under a blueprint that is surely current. News that came while it waited counts, and while
-        it waits it follows the plan: to another pool, another urgency, another bound."""
+    async def _place_on_current_binding(self, request):
+        """A replica placed under a binding that is known to be current.
+
+        While it waits, the request follows changes of its binding: to another pool, another urgency or another limit.
+        Changes that arrived during the wait are checked before the replica is returned."""
         while True:
-            binding = self._current(request)
+            binding = self._current_binding(request)
             request.bound(binding)
             request.remaining(self._node.reactor.seconds())
             try:
@@ -73,7 +77,7 @@
                         binding["pool"],
                         binding["urgency"],
                         request.wait_until,
-                        lambda binding=binding: self._current(request) == binding,
+                        lambda binding=binding: self._current_binding(request) == binding,
                         request.fields.get("lineKey", ""),
                         prefix_of(request.fields.get("start", "")),
                         binding.get("adapter"),
@@ -86,8 +90,8 @@
             try:
                 await self._bindings.wait_fresh(request.partner, request.wait_until)
                 if request.call.is_gone:
-                    raise DeadlineExceededError("the caller went away")
-                current = self._current(request)
+                    raise DeadlineExceededError("the client disconnected")
+                current = self._current_binding(request)
             except OakrampError:
                 self._placer.release(replica, placed_at)
                 raise
@@ -95,34 +99,39 @@
                 return replica
             self._placer.release(replica, placed_at)
 
-    def _last_check(self, request, replica):
-        """Run with the connection made and nothing written: the rules hold at the moment of writing."""
-        why = self._bindings.staleness(request.partner)
-        if why is not None:
-            raise OverloadedError(why, retry_after=1)
+    def _check_before_send(self, request, replica):
+        """Runs once the connection is open and before anything is written, so that the checks hold at that moment."""
+        reason = self._bindings.staleness(request.partner)
+        if reason is not None:
+            raise OverloadedError(reason, retry_after=1)
         if replica.row["state"] != "ready" or replica.row["id"] not in self._placer.replicas:
-            raise OverloadedError("the replica is leaving", retry_after=1)
-        if self._current(request) != request.binding:
-            raise OverloadedError("the binding was replaced", retry_after=1)
+            raise OverloadedError("the replica is leaving or no longer listed", retry_after=1)
+        if self._current_binding(request) != request.binding:
+            raise OverloadedError("the binding was replaced before the request was sent", retry_after=1)
         request.remaining(self._node.reactor.seconds())
         request.left = True
 
 
-def _at_least(unsure, error):
-    """A try that may have run is not unsaid by a later one that did not."""
-    return unsure if unsure is not None and error.verdict is Verdict.NO else error
+def _keep_ambiguous(ambiguous_error, error):
+    """A later attempt that did not run must not hide an earlier one that may have run."""
+    return ambiguous_error if ambiguous_error is not None and error.verdict is Verdict.NO else error
 
 
-async def refusal_of(reactor, response, lines, time_left):
-    """The error for an answer that is not 200. No only if the replica itself says so."""
-    said = {}
+async def error_from_rejection(reactor, response, lines, time_left):
+    """The error for a response with a status other than 200. Its verdict is no only if the replica states it."""
+    message = {}
     try:
-        line = await within(reactor, time_left, lines.next(), OutcomeUnknownError("the replica's refusal did not end"))
-        said = json.loads(line) if line else {}
+        line = await within(
+            reactor,
+            time_left,
+            lines.next(),
+            OutcomeUnknownError("the body of the replica's rejection did not end in time"),
+        )
+        message = json.loads(line) if line else {}
     except (ValueError, OakrampError):
-        said = {}
+        message = {}
     finally:
         lines.abort()
-    if isinstance(said, dict) and said.get("verdict") == "no":
-        return OverloadedError(f"the replica refused with {response.code}", retry_after=1)
-    return IncompleteResponseError(f"the replica answered {response.code}", Verdict.MAYBE)
+    if isinstance(message, dict) and message.get("verdict") == "no":
+        return OverloadedError(f"the replica rejected the request with status {response.code}", retry_after=1)
+    return IncompleteResponseError(f"the replica responded with status {response.code}", Verdict.MAYBE)
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -193,7 +193,7 @@
                     retry_after=RETRY_AFTER_LEAST,
                 )
             proxied_request.route, proxied_request.may_repeat = route, may_repeat(route)
-        self._authenticator.renew(proxied_request, route)
+        self._authenticator.refresh_tenant(proxied_request, route)
         return route
 
     def _check_fresh(self):
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -1,4 +1,4 @@
-"""A gate for raw requests put together: the relay in front of replicas, readiness, no disk."""
+"""The gateway process for proxied HTTP requests: wires the proxy, the readiness endpoint and metrics; uses no disk."""
 
 import time
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 from oakramp.gateway.prefix_placement import PrefixPlacement
 from oakramp.gateway.proxy import RequestProxy
 from oakramp.gateway.routing import Router, RoutingAgeWatch
-from oakramp.gateway.usage_counter import NoUsage, UsageCounter
+from oakramp.gateway.usage_counter import NullUsageCounter, UsageCounter
 from oakramp.http_proxy.listener import Listener
 from oakramp.http_proxy.upstream import Upstreams
 from oakramp.store.turns import TurnClient
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a caller may send, and how long it may take; these until the routing says more."""
+    """Limits on the size and the duration of clients' requests; the defaults apply until the routing sets others."""
 
     header_bytes: int = 16 << 10
     body_bytes: int = BODY_LIMIT
@@ -42,18 +42,20 @@
     idle_s: float = IDLE_CALLER_TIME
 
 
-LEAVING_MARGIN = 0.1  # share of the bound for leaving replicas; kept for the way from here to the replica
-STOP_MARGIN = 1.0  # s; of the grace, kept for settling and the end of the process
+LEAVING_MARGIN = 0.1  # share of the bound for leaving replicas, reserved for a request's transit to the replica
+STOP_MARGIN = 1.0  # s; part of the grace period, reserved for settling budgets and for the exit of the process
 
 
 class ProxyNode(GateBase):
-    """Invariant: while `stopping`, it calls itself not ready but serves whoever still comes."""
+    """Invariant: while `stopping`, the gateway reports itself as not ready but still serves requests that arrive."""
 
     def __init__(self, reactor, env, _disk, random, sink, wall=time.time, dialect=None):
         super().__init__(reactor, env, random, sink, wall)
         self._env, self._dialect, self.stopping = env, dialect, False
         bounds = env.get("bounds") or {}
-        self._leaving_s = bounds["leaving_s"] * (1 - LEAVING_MARGIN) if "leaving_s" in bounds else REPLICA_AGE
+        self._max_replica_list_age_s = (
+            bounds["leaving_s"] * (1 - LEAVING_MARGIN) if "leaving_s" in bounds else REPLICA_AGE
+        )
         self._grace_s = bounds.get("grace_s", SETTLE_TIME)
         self.router = Router(self.node, dialect)
         self._routing_age_watch = RoutingAgeWatch(reactor, self.router, self.node.log)
@@ -61,48 +63,52 @@
         self.balancer = Balancer(self.node, self.node.log, self.placement)
         self.upstreams = Upstreams(reactor, env["relay"].rpartition(":")[0], self.node.log)
         self.balancer.on_gone = self.upstreams.close_instance
-        turns = TurnClient(self.node)
+        turn_client = TurnClient(self.node)
         is_counting = "usage" in (env.get("platformTasks") or ())
-        self.usage = UsageCounter(self, wall, bounds["usage_window_s"]) if is_counting else NoUsage()
+        self.usage = UsageCounter(self, wall, bounds["usage_window_s"]) if is_counting else NullUsageCounter()
         self.demand = DemandReporter(self, self.router, self.balancer) if orders_replicas(env) else None
-        self.relay = RequestProxy(self, dialect, self.router, self.balancer, self.upstreams, turns, self.placement)
+        self.relay = RequestProxy(
+            self, dialect, self.router, self.balancer, self.upstreams, turn_client, self.placement
+        )
         self._limits = (0, Limits())
         self.front = Listener(
-            reactor, env["relay"], self.relay.handle, self.limits, self.node.log, RELAY_BOUND, self._refuse
+            reactor, env["relay"], self.relay.handle, self.limits, self.node.log, RELAY_BOUND, self._reject
         )
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.ready_web = HttpServer(reactor, env["ready"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.ready_web.route("GET", dialect.ready_path, self._ready)
         self.web.route("GET", "/condition", self._condition)
         serve_metrics(self.web, self.metrics)
-        for name, ask in (
+        for name, read_value in (
             ("requests_running", lambda: self.front.running),
             ("requests_waiting", self.balancer.waiting_count),
             ("settling", lambda: len(self.settling)),
             ("members_live", lambda: len(self.node.members.live())),
             ("routing_age_seconds", lambda: round(min(self.router.age(), FORGET_AGE), 3)),
         ):
-            self.metrics.gauge(name, ask)
-        turns.calls.show(self.metrics)
+            self.metrics.gauge(name, read_value)
+        turn_client.calls.show(self.metrics)
 
     def _cache_tokens_of(self, service):
         return self.router.services.get(service, {}).get("cache_tokens")
 
     def limits(self):
-        """Those of the routing in force."""
+        """The limits of the routing version in force."""
         if self._limits[0] != self.router.version:
             self._limits = (self.router.version, Limits(**self.router.limits))
         return self._limits[1]
 
-    def _refuse(self, exchange):
-        error = OverloadedError("too many requests are under way here", retry_after=RETRY_AFTER_LEAST)
+    def _reject(self, exchange):
+        error = OverloadedError(
+            "the gateway has reached its limit of concurrent requests", retry_after=RETRY_AFTER_LEAST
+        )
         request = self._dialect.request_of(exchange.method, exchange.target, exchange.headers)
         exchange.reply(*self._dialect.refusal(error, request))
 
     def replicas_staleness(self):
-        """Why nothing may be sent to a replica now, or None."""
-        if self.node.state_table.age(REPLICAS_KEY) > self._leaving_s:
-            return "the replicas' news is too old"
+        """The reason why no request may be sent to any replica now, or None."""
+        if self.node.state_table.age(REPLICAS_KEY) > self._max_replica_list_age_s:
+            return "the replica list is too old"
         return None
 
     def why_not_ready(self):
@@ -111,15 +117,15 @@
         return self.router.why_not_ready() or self.replicas_staleness()
 
     async def _ready(self, _call):
-        why = self.why_not_ready()
-        if why is not None:
-            raise QuorumUnavailableError(why)
+        reason = self.why_not_ready()
+        if reason is not None:
+            raise QuorumUnavailableError(reason)
         return 200, {"condition": "ready"}
 
     async def _condition(self, _call):
-        why = self.why_not_ready()
+        reason = self.why_not_ready()
         return 200, self.node.condition() | {
-            "condition": why or "ready",
+            "condition": reason or "ready",
             "routing": self.router.version,
             "replicas": self.balancer.shown(),
             "waiting": self.balancer.waiting_count(),
@@ -138,7 +144,7 @@
         self.front.listen()
 
     async def stop(self):
-        """Says that it is not ready, serves on until callers come no more, and ends what is under way."""
+        """Reports not ready, serves new requests until clients have moved away, finishes the running ones and stops."""
         ends_at = self.node.reactor.seconds() + self._grace_s - STOP_MARGIN
         self.stopping = True
         self.front.stopping = True
--- a/packages/gateway/oakramp/gateway/tenant_scope.py
+++ b/packages/gateway/oakramp/gateway/tenant_scope.py
@@ -1,8 +1,9 @@
-"""The names that clients choose - of turns, sessions, programs and operations - kept apart by tenant.
+"""Separates by tenant the names that clients choose for turns, sessions, programs and operations.
 
-A scoped name is the tenant's, TENANT_END, and the client's own. No header value can hold TENANT_END, so no client can
-name what is another tenant's, and no scoped name is like one without a tenant. Names of requests without a tenant stay
-as they are: what was stored before there were tenants is found under the same names.
+A scoped name consists of the tenant's name, TENANT_SEPARATOR and the name chosen by the client. No header value can
+contain TENANT_SEPARATOR, so no client can name an object of another tenant, and no scoped name can equal an unscoped
+one. Names in requests without a tenant are unchanged: data stored before tenants were introduced is found under the
+same names.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
     from oakramp.gateway.proxy_types import ProxyRequest
     from oakramp.gateway.tenants import Tenant
 
-TENANT_END = "\n"
+TENANT_SEPARATOR = "\n"
 
 
 def scoped_name(tenant: Tenant | None, name: str) -> str:
-    """The name under which this tenant's thing is kept."""
-    return name if tenant is None else f"{tenant.name}{TENANT_END}{name}"
+    """The name under which an object of this tenant is stored."""
+    return name if tenant is None else f"{tenant.name}{TENANT_SEPARATOR}{name}"
 
 
 def scoped_request(tenant: Tenant | None, request: ProxyRequest) -> ProxyRequest:
-    """The request with everything that it names in its tenant's scope, but for its own id, which goes to replicas and
-    back to its client as it is."""
+    """A copy of the request with its names scoped to its tenant, except for its own id, which is sent to replicas and
+    returned to the client unchanged."""
     if tenant is None:
         return request
     return replace(
--- a/packages/gateway/oakramp/gateway/tenants.py
+++ b/packages/gateway/oakramp/gateway/tenants.py
@@ -1,10 +1,10 @@
-"""Whose request it is: the tenants of a routing table, found by the key that a request presents.
+"""The tenants of a routing table, looked up by the API key that a request presents.
 
-The look-up is by a keyed hash. A plain comparison, or a map of plain keys, takes a time that depends on how much of a
-guess is right, so whoever measures enough answers finds a key piece by piece. The hash's own key is drawn when the
-process starts and never leaves it: no caller can tell which guesses have digests that are alike, so the time of a
-look-up says nothing about the keys. It also keeps plain keys out of this table: the only copy in a gateway is the
-configuration as it was published, from which the next version is read.
+Keys are looked up by a keyed hash to prevent timing attacks. A plain comparison, or a map of plain keys, takes a time
+that depends on how much of a guess is correct, so an attacker who measures enough responses could find a key piece by
+piece. The key of the hash is drawn at random when the process starts and never leaves it: no client can tell which
+guesses have similar digests, so the time of a lookup reveals nothing about the keys. This also keeps plain keys out of
+the table: the only copy in a gateway is the published configuration, from which the next version is read.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
 
 class TenantRow(TypedDict):
-    """A tenant in a routing table: its keys, and the priority of its requests or None for that of their routes."""
+    """A tenant in a routing table: its keys, and the priority of its requests or None to use the routes' priorities."""
 
     keys: list[str]
     priority: int | None
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """Who a request belongs to. `priority` is that of its requests (0 goes first), or None for their routes' own."""
+    """The owner of a request. `priority` is that of its requests (0 is the highest), or None to use the routes'."""
 
     name: str
     priority: int | None
@@ -36,12 +36,12 @@
 class TenantTable:
     """The tenants of one version of the routing, immutable.
 
-    `rows` are the tenants by name, or None if the configuration has no such section: no request needs a key then. With
-    a section that is empty every request needs one, and none is known.
+    `rows` are the tenants by name, or None if the configuration has no such section, in which case no request needs a
+    key. With an empty section every request needs a key, and no key is known.
     """
 
     def __init__(self, rows: Mapping[str, TenantRow] | None) -> None:
-        self.is_required = rows is not None  # whether each request needs a key
+        self.is_required = rows is not None  # whether requests need a key, except on keyless routes
         self._by_digest: dict[bytes, tuple[bytes, Tenant]] = {}
         for name, row in (rows or {}).items():
             tenant = Tenant(name, row["priority"])
@@ -50,7 +50,7 @@
                 self._by_digest[digest] = digest, tenant
 
     def find(self, key: str | None) -> Tenant | None:
-        """The tenant that holds this key; None for no key, and for one that no tenant holds."""
+        """The tenant that holds this key; None if the key is missing or no tenant holds it."""
         if key is None:
             return None
         digest = _digest_of(key)
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -27,7 +27,7 @@
 from oakramp.common.http_client import BodyLines
 from oakramp.common.tasks import settled, shielded, within
 from oakramp.common.validation import NAME, check_fields, seconds, whole
-from oakramp.gateway.forwarding import refusal_of
+from oakramp.gateway.forwarding import error_from_rejection
 from oakramp.gateway.request import Request, chain, leases_of, print_of
 from oakramp.gateway.stream import CallerStream, RunReader
 
@@ -261,7 +261,7 @@
         lines = BodyLines(PIECE_LIMIT)
         response.deliverBody(lines)
         if response.code != 200:
-            raise await refusal_of(self._reactor, response, lines, CALL_TIME)
+            raise await error_from_rejection(self._reactor, response, lines, CALL_TIME)
         fields["reader"] = reader = RunReader(self._reactor, run, lines, fields["reserve"])
         if request.binding.get("onCallerGone", "cancel") == "cancel":
             request.call.gone.addCallback(lambda _: lines.abort())
--- a/packages/gateway/oakramp/gateway/unknown_routes.py
+++ b/packages/gateway/oakramp/gateway/unknown_routes.py
@@ -1,4 +1,4 @@
-"""Requests without a route: by which version of the routing, and how long after it was last confirmed."""
+"""Logs requests without a route, with the version of the routing table and the time since it was last confirmed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class UnknownRouteLog:
-    """Logs rejected requests, at most one line each REJECTED_LOG_PAUSE seconds."""
+    """Logs rejected requests, at most one line every REJECTED_LOG_PAUSE seconds."""
 
     def __init__(self, reactor: Any, router: Router, log: EventLogger) -> None:
         self._router = router
@@ -21,7 +21,7 @@
         self._limit = LogRateLimit(reactor, REJECTED_LOG_PAUSE)
 
     def note(self) -> None:
-        """A request had no route in the table in force."""
+        """Records that a request had no route in the table in force."""
         left_out = self._limit.take()
         if left_out is None:
             return
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -172,7 +172,7 @@
     CodeMutation(
         "a gateway acts on no table that may lack a confirmed change",
         "gateway/oakramp/gateway/routing.py",
-        "return self._why_unusable(self.age_bound())",
+        "return self._unusable_reason(self.age_bound())",
         "return self.why_not_ready()",
         "test_routing.RouterTest.test_staleness",
     ),
@@ -200,7 +200,7 @@
     CodeMutation(
         "a maybe is not unsaid by a later no",
         "gateway/oakramp/gateway/forwarding.py",
-        "return unsure if unsure is not None and error.verdict is Verdict.NO else error",
+        "return ambiguous_error if ambiguous_error is not None and error.verdict is Verdict.NO else error",
         "return error",
         "test_faults.ReplicaFaults.test_maybe_is_not_unsaid_by_a_later_no",
     ),
@@ -573,7 +573,7 @@
     CodeMutation(
         "a gate acts on no table of old news",
         "gateway/oakramp/gateway/routing.py",
-        "if self.age() > longest:",
+        "if self.age() > max_age_s:",
         "if False:",
         "test_cut_off.CutGates.test_a_table_of_old_news_is_not_acted_on",
     ),
@@ -1553,7 +1553,7 @@
     CodeMutation(
         "a request without a known key reaches no replica",
         "gateway/oakramp/gateway/authentication.py",
-        "        if tenant is None and self._is_refused(api_key, route):",
+        "        if tenant is None and self._is_rejected(api_key, route):",
         "        if False:",
         "test_tenant_keys.Authentication.test_without_a_known_key_nothing_reaches_a_replica",
     ),
@@ -1581,7 +1581,7 @@
     CodeMutation(
         "a key that was taken away is known no more when a place comes",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "        self._authenticator.renew(proxied_request, route)\n",
+        "        self._authenticator.refresh_tenant(proxied_request, route)\n",
         "",
         "test_tenant_keys.TakenAway.test_while_it_waits_for_a_place",
     ),
@@ -1602,7 +1602,7 @@
     CodeMutation(
         "turns go on only from turns of their tenant",
         "gateway/oakramp/gateway/tenant_scope.py",
-        'return name if tenant is None else f"{tenant.name}{TENANT_END}{name}"',
+        'return name if tenant is None else f"{tenant.name}{TENANT_SEPARATOR}{name}"',
         "return name",
         "test_tenant_keys.ScopesOfTenants.test_a_turn_of_another_tenant_is_not_there",
     ),
@@ -1805,7 +1805,7 @@
     CodeMutation(
         "gateways tell their clocks",
         "gateway/oakramp/gateway/usage_counter.py",
-        "if self._takes_time else {}",
+        "if self._leader_accepts_time else {}",
         "if False else {}",
         "test_usage_clocks.SteppedClocks.test_a_step_that_stays_on_a_running_holder_changes_nothing",
     ),
@@ -1819,7 +1819,7 @@
     CodeMutation(
         "a gateway's first requests wait for the fleet's time",
         "gateway/oakramp/gateway/usage_counter.py",
-        "if self._awaits_time:",
+        "if self._is_waiting_for_time:",
         "if False:",
         "test_usage_counts.Counts.test_a_gateway_that_starts_with_a_wrong_clock_waits_for_the_fleets_time",
     ),
