--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -1,17 +1,18 @@
-"""Budgets: what a program may put out, over all gates and restarts.
+"""Budgets: the output units that a program may use, across all gateways and restarts.
 
-Invariants of budget/P/G: a turn is admitted only while spent + all open reservations < limit, and reserves
-the most it can put out; so the program puts out at most its limit and one turn more. Each turn has at
-most one open reservation. A mark, once there, stays as long as the program, and a program has at most TURNS_LIMIT of
-them; it says what became of the turn: done and broken ran, refused and never did not, vanished may have.
+Invariants of the key budget/P/G (partner P, program G): a turn is admitted only while spent + all open reservations <
+limit, and reserves the most units it can output; so the program outputs at most its limit plus one turn. Each turn has
+at most one open reservation. A turn record, once written, is kept as long as the program, and a program has at most
+TURNS_LIMIT of them. Its state is the outcome of the turn: `done` and `broken` ran, `refused` and `never` did not,
+`vanished` may have run.
 
-A mark also keeps, in `back`, the highest number of an admission that each gate has taken back: a gate numbers its
-admissions, so one that was taken back and comes in late is told from one that is new, whatever came in between.
+A turn record also keeps, in `back`, the highest number of a cancelled admission for each gateway. A gateway numbers
+its admissions, so a cancelled one that arrives late can be told from a new one, whatever arrived in between.
 
 A program is ended by its caller, its operator, or the plan's `endAfterIdle`. From then on it is `ending`: it admits
-nothing, what is open may still settle, and its marks go page by page. Then it is one of its shard's ended ones, of
-which 8 bytes of hash stay for ever: a budget that is spent must never start anew. Two names with one hash cost one of
-them a no; never a second budget.
+nothing, open reservations may still be settled, and its turn records are deleted page by page. Then the program itself
+is deleted, and 8 bytes of its hash are kept forever in its shard's entries of ended programs, since a spent budget must
+never be opened again. On a hash collision the second program is rejected; it never gets a second budget.
 """
 
 from hashlib import blake2b
@@ -31,7 +32,7 @@
 )
 from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
-from oakramp.control.plan import news_of
+from oakramp.control.plan import gossiped_plan
 from oakramp.control.reservation_numbers import NUMBER, is_back, note_back
 from oakramp.membership.members import SILENT
 
@@ -39,7 +40,7 @@
 
 
 def _ended_key(key):
-    """(entry, hash): where a program of this shard is remembered once it has ended."""
+    """(entry, hash): the entry that lists a program of this shard once it has ended, and its hash there."""
     digest = blake2b(key.encode(), digest_size=8).hexdigest()
     return f"ended#{digest[:2]}", digest
 
@@ -65,31 +66,31 @@
     return program
 
 
-def _mark_key(key, turn):
+def _turn_record_key(key, turn):
     return f"{key}#turn/{turn}"
 
 
-def _set_mark(transaction, key, turn, **mark):
-    previous = transaction.get(_mark_key(key, turn)) or {}
-    transaction.put(_mark_key(key, turn), {"back": previous.get("back", {})} | mark)
+def _put_turn_record(transaction, key, turn, **record):
+    previous = transaction.get(_turn_record_key(key, turn)) or {}
+    transaction.put(_turn_record_key(key, turn), {"back": previous.get("back", {})} | record)
 
 
-def _take_back(transaction, key, program, turn, arguments):
-    """Notes that this admission will not be carried; what an earlier one of the turn did stays known."""
-    mark = transaction.get(_mark_key(key, turn))
-    if mark is None and turn not in program["open"]:
+def _cancel_admission(transaction, key, program, turn, arguments):
+    """Records that this admission will not be executed; the outcome of an earlier admission of the turn is kept."""
+    record = transaction.get(_turn_record_key(key, turn))
+    if record is None and turn not in program["open"]:
         if program["turns"] >= TURNS_LIMIT:
-            return  # a late admission of a turn that has no mark is refused for that already
+            return  # a late admission of a turn without a record is rejected by the limit on turns anyway
         program["turns"] += 1
-    mark = mark or {"state": "never", "print": arguments["print"], "admission": arguments["admission"], "units": 0}
-    transaction.put(_mark_key(key, turn), mark | {"back": note_back(transaction, mark, arguments)})
+    record = record or {"state": "never", "print": arguments["print"], "admission": arguments["admission"], "units": 0}
+    transaction.put(_turn_record_key(key, turn), record | {"back": note_back(transaction, record, arguments)})
 
 
 def _reserved(program):
     return sum(row["reserve"] for row in program["open"].values())
 
 
-def _shown(program):
+def _status(program):
     return {
         "state": "ending" if program.get("ending") else "open",
         "limit": program["limit"],
@@ -99,46 +100,48 @@
     }
 
 
-def _rules_of(transaction, key):
+def _program_rules(transaction, key):
     partner = key.split("/")[1]
-    age, rest = news_of(transaction.context.state_table, partner)
+    age, rest = gossiped_plan(transaction.context.state_table, partner)
     if age > BLUEPRINT_AGE:
-        raise QuorumUnavailableError("the blueprint's news is too old, so the program was not opened", retry_after=1)
+        raise QuorumUnavailableError(
+            "this node's copy of the blueprint is too old, so the program was not opened", retry_after=1
+        )
     if rest is None:
-        raise NotFoundError(f"no partner {partner}")
+        raise NotFoundError(f"no partner named {partner}")
     return rest["programs"]
 
 
 def _open(transaction, key, arguments):
-    """A program that is there already is shown; else it takes its limit, or the plan's, within the plan's bound.
-    The plan is looked at here, in the order of commands, so that the limit is of no older plan than the news of
-    this node are old."""
+    """Opens a program, or returns the status of one that exists. The limit is the given one or the plan's default, and
+    at most the plan's maximum. The plan is read when the command runs, so that the limit comes from a plan that is no
+    older than this node's gossiped copy of it."""
     check_fields({"limit": Or(None, whole(1, UNITS_LIMIT))}, arguments)
     program, limit = transaction.get(key), arguments["limit"]
     if (program is None and _has_ended(transaction, key)) or (program or {}).get("ending"):
-        raise ProgramEndedError("this program has ended, and its budget never starts anew")
+        raise ProgramEndedError("this program has ended, and its budget cannot be opened again")
     if program is None:
-        rules = _rules_of(transaction, key)
+        rules = _program_rules(transaction, key)
         limit = limit or rules["defaultLimit"]
         if limit > rules["maxLimit"]:
-            raise BadRequestError(f"limit is above the plan's {rules['maxLimit']}")
+            raise BadRequestError(f"limit is above the plan's maxLimit of {rules['maxLimit']}")
         program = {"limit": limit, "spent": 0, "open": {}, "turns": 0}
         transaction.put(key, program)
         transaction.context.touch(key)
     if limit not in (None, program["limit"]):
-        raise ConflictError(f"the program is open already, with a limit of {program['limit']}")
-    return _shown(program)
+        raise ConflictError(f"the program is already open with a limit of {program['limit']}")
+    return _status(program)
 
 
 def _read(transaction, key, _arguments):
-    return _shown(_program(transaction, key))
+    return _status(_program(transaction, key))
 
 
-def _give_up(transaction, key, program, turn):
-    """The gate of this reservation is gone: what it reserved counts as spent."""
+def _expire_reservation(transaction, key, program, turn):
+    """Closes the reservation of a gateway that is gone: the reserved units count as spent."""
     row = program["open"].pop(turn)
     program["spent"] += row["reserve"]
-    _set_mark(
+    _put_turn_record(
         transaction, key, turn, state="vanished", print=row["print"], admission=row["admission"], units=row["reserve"]
     )
     transaction.put(key, program)
@@ -159,30 +162,30 @@
     )
     program, turn = _running(transaction, key), arguments["turn"]
     transaction.context.touch(key)
-    row, mark = program["open"].get(turn), transaction.get(_mark_key(key, turn))
-    if is_back(mark, arguments):
-        raise RequestRejectedError("this admission was taken back before it came in")
+    row, record = program["open"].get(turn), transaction.get(_turn_record_key(key, turn))
+    if is_back(record, arguments):
+        raise RequestRejectedError("this admission was cancelled before it arrived")
     if row and row["admission"] == arguments["admission"]:
         return {"state": "admitted", "reserve": row["reserve"]}
     if row and row["print"] != arguments["print"]:
-        raise ConflictError("this turn id is in use for another request")
+        raise ConflictError("this turn id is in use by a different request")
     if row and transaction.context.members.condition(row["gate"]) != SILENT:
         raise InProgressError("this turn is running", retry_after=1)
     if row:
-        _give_up(transaction, key, program, turn)
-        mark = transaction.get(_mark_key(key, turn))
-    if mark and mark["state"] != "never":
-        if mark["print"] != arguments["print"]:
-            raise ConflictError("this turn id was used for another request")
-        if mark["state"] in ("done", "refused"):
-            return {"state": mark["state"]}
+        _expire_reservation(transaction, key, program, turn)
+        record = transaction.get(_turn_record_key(key, turn))
+    if record and record["state"] != "never":
+        if record["print"] != arguments["print"]:
+            raise ConflictError("this turn id was used by a different request")
+        if record["state"] in ("done", "refused"):
+            return {"state": record["state"]}
         if not arguments["repeatable"]:
-            return {"state": mark["state"]}
-    if mark is None and program["turns"] >= TURNS_LIMIT:
+            return {"state": record["state"]}
+    if record is None and program["turns"] >= TURNS_LIMIT:
         raise ConflictError(f"a program has at most {TURNS_LIMIT} turns; open another one")
-    program["turns"] += mark is None
+    program["turns"] += record is None
     if program["spent"] + _reserved(program) >= program["limit"]:
-        _set_mark(
+        _put_turn_record(
             transaction, key, turn, state="refused", print=arguments["print"], admission=arguments["admission"], units=0
         )
         transaction.put(key, program)
@@ -209,19 +212,21 @@
         return {"state": "ended"}
     transaction.context.touch(key)
     program, turn = _program(transaction, key), arguments["turn"]
-    row, mark = program["open"].get(turn), transaction.get(_mark_key(key, turn))
+    row, record = program["open"].get(turn), transaction.get(_turn_record_key(key, turn))
     if row and row["admission"] == arguments["admission"]:
         del program["open"][turn]
         program["spent"] += arguments["units"]
-    elif mark and mark["admission"] == arguments["admission"] and mark["state"] == "vanished":
-        program["spent"] += arguments["units"] - mark["units"]  # the gate was only frozen
+    elif record and record["admission"] == arguments["admission"] and record["state"] == "vanished":
+        program["spent"] += (
+            arguments["units"] - record["units"]
+        )  # the gateway was only paused: its real use replaces the reserve
     elif arguments["outcome"] != "never":
-        return _shown(program)  # settled before
+        return _status(program)  # already settled
     if arguments["outcome"] == "never":
-        _take_back(transaction, key, program, turn, arguments)
+        _cancel_admission(transaction, key, program, turn, arguments)
         transaction.put(key, program)
-        return _shown(program)
-    _set_mark(
+        return _status(program)
+    _put_turn_record(
         transaction,
         key,
         turn,
@@ -231,26 +236,26 @@
         units=arguments["units"],
     )
     transaction.put(key, program)
-    return _shown(program)
+    return _status(program)
 
 
 def _end(transaction, key, _arguments):
-    """The end of a program, asked for; safe to ask again."""
+    """Ends a program on request. Idempotent."""
     if transaction.get(key) is None and _has_ended(transaction, key):
         return {"state": "ended"}
     program = _program(transaction, key)
     if not program.get("ending"):
         program["ending"] = True
         transaction.put(key, program)
-    return _shown(program)
+    return _status(program)
 
 
-def _go_on_ending(transaction, key):
-    """The marks go first, a page at a time; the program and its place among the ended ones change in one step."""
-    marks = list(islice(transaction.committed_keys(f"{key}#"), ENDING_MARKS))
-    for mark_key in marks:
-        transaction.put(mark_key, None)
-    if marks:
+def _continue_ending(transaction, key):
+    """Deletes turn records first, one page a call; then the program is deleted and listed as ended in one step."""
+    record_keys = list(islice(transaction.committed_keys(f"{key}#"), ENDING_MARKS))
+    for record_key in record_keys:
+        transaction.put(record_key, None)
+    if record_keys:
         return
     entry, digest = _ended_key(key)
     transaction.put(entry, sorted({*(transaction.get(entry) or ()), digest}))
@@ -259,18 +264,18 @@
 
 
 def _is_idle(transaction, key):
-    _, rest = news_of(transaction.context.state_table, key.split("/")[1])
-    longest = (rest or {}).get("programs", {}).get("endAfterIdle")
-    return longest is not None and transaction.context.age_of(key) > longest
+    _, rest = gossiped_plan(transaction.context.state_table, key.split("/")[1])
+    idle_limit = (rest or {}).get("programs", {}).get("endAfterIdle")
+    return idle_limit is not None and transaction.context.age_of(key) > idle_limit
 
 
 def _cleanup(transaction, key, _arguments):
-    """Gives up reservations of gates that are long gone, and ends programs that are over."""
+    """Closes reservations of gateways that have left the membership, and ends programs that are idle or ending."""
     program = transaction.get(key)
     if program is None:
         return
     if program.get("ending") and not program["open"]:
-        _go_on_ending(transaction, key)
+        _continue_ending(transaction, key)
         return
     if not program["open"] and _is_idle(transaction, key):
         _end(transaction, key, {})
@@ -278,7 +283,7 @@
     members = transaction.context.members
     for turn in [turn for turn, row in program["open"].items() if members.find(row["gate"]) is None]:
         if transaction.context.age_of(f"{key}#gone/{turn}") > 0:
-            _give_up(transaction, key, program, turn)
+            _expire_reservation(transaction, key, program, turn)
 
 
 CONTROLLERS.enter("budget")(
@@ -288,4 +293,4 @@
         growing=("open", "admit"),
     )
 )
-CONTROLLERS.enter("ended")(Controller({}))  # rows that hang on no key: only commands of budgets touch them
+CONTROLLERS.enter("ended")(Controller({}))  # entries of no key of their own: only commands of budgets change them
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -1,9 +1,10 @@
-"""Blueprints: one for each partner, changed whole or by a named change built on a version.
+"""Plans (`blueprint` on the wire): one for each partner, replaced as a whole or by a named change based on a version.
 
-A change is known by its id for as long as the version that it made is kept, and an id names one change: another one
-under the same id is refused. A change is told that it is lost only if it is built on a past version whose successor is
-kept, for then its id would be known, had it been accepted. An older one may have been accepted, and one that is built
-on a version which is not there yet may still be, by a copy under way: these get no clear answer.
+A change is known by its id for as long as the version that it made is kept, and an id identifies one change: a
+different change with the same id is rejected. A change is reported as lost only if it is based on a past version whose
+successor is kept: had the change been accepted, its id would be known. An older change may have been accepted, and one
+that is based on a version that does not exist yet may still be accepted by a copy in flight: both get an ambiguous
+answer.
 """
 
 import json
@@ -55,8 +56,8 @@
     "programs": And(dict, error="must be an object"),
     Optional("share"): whole(1, 100),
 }
-WARNINGS = 20  # of one kind; that an answer names
-BASE_EVERY = 64  # changes; between two whole blueprints, so that reading one back replays few changes
+WARNINGS_SHOWN = 20  # warnings of one kind listed in an answer
+BASE_INTERVAL = 64  # versions between two that are stored whole, so that reading one replays few changes
 
 
 def blueprint_faults(blueprint):
@@ -72,10 +73,10 @@
 
 
 def binding_faults(name, binding):
-    """What is wrong with a route of a plan, a text for each fault that begins with its path."""
+    """The faults of one binding of a plan, each a text that begins with the path of the field."""
     path = f"bindings.{name}"
     if not is_name(name):
-        return [f"{path}: is no name"]
+        return [f"{path}: is not a valid name"]
     faults = faults_of(BINDING, binding, path)
     if faults:
         return faults
@@ -86,7 +87,7 @@
     return []
 
 
-# --- named changes: (blueprint, arguments) -> new blueprint --------------------
+# --- named changes: (plan, arguments) -> new plan -----------------------------
 
 CHANGES = Registry("change")
 
@@ -121,10 +122,10 @@
     return blueprint | {"share": arguments["share"]}
 
 
-# --- the owned key --------------------------------------------------------------
+# --- the replicated key ----------------------------------------------------------
 # Entries of blueprint/P:  itself: {version, base, first};  #v/<n>: {whole} or {change, arguments}, with
-# the change id;  #c/<id>: {version, print} (earlier releases kept no print).
-# Invariant: base <= version, entry #v/<base> is whole, every entry from `first` to `version` is there.
+# the change id;  #c/<id>: {version, print}, `print` a fingerprint of the change (earlier releases stored none).
+# Invariant: base <= version, entry #v/<base> is whole, every entry from `first` to `version` exists.
 
 
 def _version_key(key, version):
@@ -135,7 +136,7 @@
     return transaction.get(key) or {"version": 0, "base": 0, "first": 0}
 
 
-def _at(transaction, key, version, base):
+def _plan_at(transaction, key, version, base):
     rows = [transaction.get(_version_key(key, number)) for number in range(base, version + 1)]
     blueprint = rows[0]["whole"]
     for row in rows[1:]:
@@ -144,35 +145,37 @@
 
 
 def _current(transaction, key, head):
-    memo = transaction.context.marks.get(f"memo/{key}") if transaction.context else None
-    if memo and memo[0] == head["version"]:
-        return memo[1]
-    blueprint = _at(transaction, key, head["version"], head["base"])
+    cached = transaction.context.marks.get(f"memo/{key}") if transaction.context else None
+    if cached and cached[0] == head["version"]:
+        return cached[1]
+    blueprint = _plan_at(transaction, key, head["version"], head["base"])
     if transaction.context:
         transaction.context.marks[f"memo/{key}"] = (head["version"], blueprint)
     return blueprint
 
 
-def _print_of(asked):
-    """Names what is asked for, whatever version it is built on: asked again on a later one, it is the same change."""
-    return blake2b(pack_json(asked), digest_size=16).hexdigest()
+def _fingerprint(requested):
+    """A fingerprint of the change that does not depend on its base version: the same change is recognized on a later
+    one."""
+    return blake2b(pack_json(requested), digest_size=16).hexdigest()
 
 
-def _check_same_change(known, change_id, asked):
-    if known.get("print", _print_of(asked)) != _print_of(asked):
-        raise ConflictError(f"the id {change_id} names another change, which made version {known['version']}")
+def _check_same_change(known, change_id, requested):
+    if known.get("print", _fingerprint(requested)) != _fingerprint(requested):
+        raise ConflictError(f"the id {change_id} belongs to another change, which made version {known['version']}")
 
 
-def _check_base(head, based_on):
-    """Only what is built on the newest version goes on; it is lost only if it surely was not accepted and never can be."""
+def _check_base_version(head, based_on):
+    """Accepts only a change based on the newest version. It is reported as lost only if it certainly was not accepted
+    and never can be."""
     if based_on == head["version"]:
         return
-    reason = f"built on version {based_on}, the newest is {head['version']}"
+    reason = f"based on version {based_on}, the newest is {head['version']}"
     if based_on > head["version"]:
         raise QuorumUnavailableError(reason, Verdict.MAYBE)
     if based_on + 1 < head["first"]:
         raise QuorumUnavailableError(
-            f"{reason}; changes of that age are not remembered, so it may be accepted", Verdict.MAYBE
+            f"{reason}; changes that old are not remembered, so it may have been accepted", Verdict.MAYBE
         )
     raise VersionConflictError(reason, detail={"version": head["version"]})
 
@@ -190,28 +193,34 @@
     )
     head = _head(transaction, key)
     known = transaction.get(f"{key}#c/{arguments['changeId']}")
-    asked = {name: arguments[name] for name in ("blueprint", "change", "arguments") if name in arguments}
+    requested = {name: arguments[name] for name in ("blueprint", "change", "arguments") if name in arguments}
     if known:
-        _check_same_change(known, arguments["changeId"], asked)
+        _check_same_change(known, arguments["changeId"], requested)
         return {"outcome": "accepted", "version": known["version"]}
-    _check_base(head, arguments["basedOn"])
+    _check_base_version(head, arguments["basedOn"])
     transaction.context.refuse_full()
-    if ("blueprint" in asked) == ("change" in asked):
-        raise BadRequestError("either a whole blueprint or a named change is needed")
-    if "change" in asked and not head["version"]:
-        raise ValidationFailedError("there is no blueprint to change yet", detail=["blueprint: is missing"])
-    if "change" in asked:
-        blueprint = CHANGES.find(asked["change"])(_current(transaction, key, head), asked.get("arguments") or {})
+    if ("blueprint" in requested) == ("change" in requested):
+        raise BadRequestError("exactly one of blueprint and change is required")
+    if "change" in requested and not head["version"]:
+        raise ValidationFailedError("no blueprint exists yet that could be changed", detail=["blueprint: is missing"])
+    if "change" in requested:
+        blueprint = CHANGES.find(requested["change"])(
+            _current(transaction, key, head), requested.get("arguments") or {}
+        )
     else:
-        blueprint = asked["blueprint"]
+        blueprint = requested["blueprint"]
     faults = blueprint_faults(blueprint)
     if faults:
         raise ValidationFailedError("; ".join(faults[:20]), detail=faults[:200])
     version, previous = head["version"] + 1, head
-    is_base = "blueprint" in asked or version - head["base"] >= BASE_EVERY
-    row = {"whole": blueprint} if is_base else {"change": asked["change"], "arguments": asked.get("arguments") or {}}
+    is_base = "blueprint" in requested or version - head["base"] >= BASE_INTERVAL
+    row = (
+        {"whole": blueprint}
+        if is_base
+        else {"change": requested["change"], "arguments": requested.get("arguments") or {}}
+    )
     transaction.put(_version_key(key, version), row | {"changeId": arguments["changeId"]})
-    transaction.put(f"{key}#c/{arguments['changeId']}", {"version": version, "print": _print_of(asked)})
+    transaction.put(f"{key}#c/{arguments['changeId']}", {"version": version, "print": _fingerprint(requested)})
     head = {"version": version, "base": version if is_base else head["base"], "first": head["first"] or 1}
     transaction.put(key, _pruned(transaction, key, head))
     previous = _current(transaction, key, previous) if previous["version"] else {"bindings": {}}
@@ -220,7 +229,7 @@
 
 
 def _warnings(transaction, previous, blueprint):
-    """What the plan may not have meant. It is the operator's to decide, so it is said, not refused."""
+    """Probable mistakes in the plan. They are reported and not rejected, since the operator has to decide."""
     snapshot = transaction.context.state_table.snapshots.get(REPLICAS_KEY)
     rows = [json.loads(value) for _, value in snapshot.items.values() if value is not None] if snapshot else []
     pools = {row["pool"] for row in rows if row["state"] == "ready"}
@@ -229,11 +238,13 @@
         f"bindings.{name}.pool: {binding['pool']} has no ready replica"
         for name, binding in sorted(blueprint["bindings"].items())
         if binding["pool"] not in pools
-    ][:WARNINGS] + [f"bindings.{name}: is gone; requests that name it are refused" for name in gone][:WARNINGS]
+    ][:WARNINGS_SHOWN] + [f"bindings.{name}: is gone; requests that name it are refused" for name in gone][
+        :WARNINGS_SHOWN
+    ]
 
 
 def _pruned(transaction, key, head):
-    """Lets whole runs of versions go once they are past what is kept, from one base to the next."""
+    """Deletes versions older than the BLUEPRINTS_KEPT newest, in whole ranges from one base to the next."""
     oldest = head["version"] - BLUEPRINTS_KEPT
     if oldest <= head["first"]:
         return head
@@ -254,20 +265,20 @@
     if version == head["version"]:
         return {"version": version, "blueprint": _current(transaction, key, head)}
     base = next(number for number in range(version, 0, -1) if "whole" in transaction.get(_version_key(key, number)))
-    return {"version": version, "blueprint": _at(transaction, key, version, base)}
+    return {"version": version, "blueprint": _plan_at(transaction, key, version, base)}
 
 
 def _outcome(transaction, key, arguments):
-    """What became of a change, by its id: unknown, if it may be one of those whose ids are forgotten."""
+    """The outcome of a change by its id; `unknown` if it may be one whose id has been deleted."""
     known, head = transaction.get(f"{key}#c/{arguments['changeId']}"), _head(transaction, key)
     if known:
         return {"outcome": "accepted", "version": known["version"]}
     return {"outcome": "unknown" if head["first"] > 1 else "notAccepted", "version": head["version"]}
 
 
-def news_of(state_table, partner):
-    """The newest that this node has heard of a partner's blueprint: its age, and all of it but the bindings, or
-    None. That a partner has none is known by the leader of the shard it would be in."""
+def gossiped_plan(state_table, partner):
+    """A partner's plan as this node has it by gossip: (age, all of it but the bindings, or None without a plan).
+    Without a plan the age is that of the shard the plan would be in, whose leader knows that there is none."""
     source = f"blueprint/{partner}"
     snapshot = state_table.snapshots.get(source)
     if snapshot is None:
@@ -280,7 +291,7 @@
     head = _head(transaction, key)
     if not head["version"]:
         return 0, {}
-    blueprint = _at(transaction, key, head["version"], head["base"])
+    blueprint = _plan_at(transaction, key, head["version"], head["base"])
     rest = {name: value for name, value in blueprint.items() if name != "bindings"}
     return head["version"], {"rest": pack_json(rest)} | {
         f"binding/{name}": pack_json(binding) for name, binding in blueprint["bindings"].items()
--- a/packages/control/oakramp/control/token_budget.py
+++ b/packages/control/oakramp/control/token_budget.py
@@ -1,17 +1,17 @@
-"""Allowances: what a program may put out when its limit comes with each of its turns, over all gates.
+"""Token budgets of programs whose limit comes with each turn, across all gateways (`allowance` on the wire).
 
 Invariants of allowance/PROGRAM, a row {limit, spent, open: {turn: [reserve, gate]}, closed: [turn], refused: [turn]}:
-- a turn is admitted only while spent + all open reserves < limit, and reserves the most it can put out; so the program
-  puts out at most its limit and one turn more;
-- a turn is in one of open, closed and refused, and never goes back to open: a copy of its admission that comes late
-  finds what became of it. Of closed and refused turns the last ALLOWANCE_CLOSED are kept; a copy that is later still
-  would only reserve, which spends too much and never too little;
-- the limit is the smallest that any turn has named: it is one figure of one program, so where two differ one is wrong,
-  and only the smaller keeps both promises, in whatever order they come;
-- what a vanished gate has reserved is spent, since nobody knows how much of it was put out.
-
-A row goes when nothing is open and this leader has counted ALLOWANCE_KEPT seconds since its last change or since it
-took the shard over, whichever is later.
+- a turn is admitted only while spent + all open reservations < limit, and reserves the most units it can output; so the
+  program outputs at most its limit plus one turn;
+- a turn is in one of open, closed and refused, and never returns to open: a late copy of its admission gets the outcome
+  of the turn. Only the last ALLOWANCE_CLOSED closed and refused turns are kept; a copy that arrives even later would
+  only add a reservation, so that too much counts as spent, never too little;
+- the limit is the smallest that any turn has given: a program has one limit, so if two differ one of them is wrong, and
+  only the smaller one satisfies both, in whatever order they arrive;
+- the reservations of a vanished gateway count as spent, since it is unknown how much of them was output.
+
+A row is deleted when no turn is open and this leader has counted ALLOWANCE_KEPT seconds since the row's last change or
+since it became the shard's leader, whichever is later.
 """
 
 from schema import And
@@ -21,9 +21,9 @@
 from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
 
-TURN = And(str, len, error="must be a turn's id")
+TURN = And(str, len, error="must be a turn id")
 ADMISSION = {"turn": TURN, "reserve": whole(1, UNITS_LIMIT), "limit": whole(0, UNITS_LIMIT), "gate": NAME}
-NEW = {"limit": None, "spent": 0, "open": {}, "closed": [], "refused": []}
+EMPTY_ROW = {"limit": None, "spent": 0, "open": {}, "closed": [], "refused": []}
 
 
 def _reserved(row):
@@ -35,43 +35,43 @@
     transaction.context.touch(key)
 
 
-def _noted(turns, turn):
+def _append_recent(turns, turn):
     return [*turns, turn][-ALLOWANCE_CLOSED:]
 
 
 def _admit(transaction, key, arguments):
     check_fields(ADMISSION, arguments)
-    row, turn = transaction.get(key) or NEW, arguments["turn"]
+    row, turn = transaction.get(key) or EMPTY_ROW, arguments["turn"]
     if turn in row["open"] and row["open"][turn][1] != arguments["gate"]:
-        raise InProgressError("this turn is under way at another gate", retry_after=1)
+        raise InProgressError("this turn is running at another gateway", retry_after=1)
     if turn in row["open"]:
         return {"state": "admitted"}
     if turn in row["closed"]:
-        raise RequestRejectedError("this turn was settled before its admission came in")
+        raise RequestRejectedError("this turn was settled before its admission arrived")
     if turn in row["refused"]:
         return {"state": "refused"}
     if len(row["open"]) >= ALLOWANCE_OPEN:
-        raise OverloadedError("too many turns of this program are under way", retry_after=1)
-    named = (row["limit"], arguments["limit"])
-    row = row | {"limit": min(limit for limit in named if limit is not None)}
+        raise OverloadedError("too many turns of this program are running", retry_after=1)
+    limits = (row["limit"], arguments["limit"])
+    row = row | {"limit": min(limit for limit in limits if limit is not None)}
     if row["spent"] + _reserved(row) >= row["limit"]:
-        _put(transaction, key, row | {"refused": _noted(row["refused"], turn)})
+        _put(transaction, key, row | {"refused": _append_recent(row["refused"], turn)})
         return {"state": "refused"}
     _put(transaction, key, row | {"open": row["open"] | {turn: [arguments["reserve"], arguments["gate"]]}})
     return {"state": "admitted"}
 
 
 def _settle(transaction, key, arguments):
-    """Turns that have ended, with the units they put out; 0 of one that never ran. What was settled before stays as it
-    is. Of a turn that is neither open nor known, what it is said to have put out counts: too much is safe."""
+    """Settles ended turns, given with the units that they output; 0 for one that never ran. A turn that is already
+    settled stays unchanged. For a turn that is neither open nor known, the given units count: too much is safe."""
     check_fields({"settled": list}, arguments)
     if not all(_is_settlement(one) for one in arguments["settled"]):
         raise BadRequestError("settled: must be pairs of a turn and its units")
-    row = transaction.get(key) or NEW
+    row = transaction.get(key) or EMPTY_ROW
     for turn, units in arguments["settled"]:
         if turn in row["closed"] or turn in row["refused"]:
             continue
-        row = _closed(row, turn, units)
+        row = _close_turn(row, turn, units)
     _put(transaction, key, row)
     return {}
 
@@ -87,10 +87,10 @@
     )
 
 
-def _closed(row, turn, units):
+def _close_turn(row, turn, units):
     return row | {
         "spent": row["spent"] + units,
-        "closed": _noted(row["closed"], turn),
+        "closed": _append_recent(row["closed"], turn),
         "open": {other: reservation for other, reservation in row["open"].items() if other != turn},
     }
 
@@ -103,7 +103,7 @@
 
 
 def _cleanup(transaction, key, _arguments):
-    """Gives up reservations of gates that are long gone, and rows that nobody has used for long."""
+    """Closes reservations of gateways that left more than CONDITION_AGE ago, and deletes a row unused for long."""
     row, context = transaction.get(key), transaction.context
     if row is None:
         return
@@ -111,15 +111,17 @@
         transaction.put(key, None)
         context.marks.pop(key, None)
         return
-    unheard = {gate: f"{key}#gone/{gate}" for _, gate in row["open"].values() if context.members.find(gate) is None}
-    gone = {gate for gate, mark in unheard.items() if context.age_of(mark) > CONDITION_AGE}
-    given_up = [turn for turn, (_, gate) in row["open"].items() if gate in gone]
-    for turn in given_up:
-        row = _closed(row, turn, row["open"][turn][0])
-    if given_up:
+    absence_marks = {
+        gate: f"{key}#gone/{gate}" for _, gate in row["open"].values() if context.members.find(gate) is None
+    }
+    gone = {gate for gate, mark in absence_marks.items() if context.age_of(mark) > CONDITION_AGE}
+    expired = [turn for turn, (_, gate) in row["open"].items() if gate in gone]
+    for turn in expired:
+        row = _close_turn(row, turn, row["open"][turn][0])
+    if expired:
         _put(transaction, key, row)
     for gate in gone:
-        context.marks.pop(unheard[gate], None)
+        context.marks.pop(absence_marks[gate], None)
 
 
 CONTROLLERS.enter("allowance")(
--- a/packages/gateway/oakramp/gateway/bindings.py
+++ b/packages/gateway/oakramp/gateway/bindings.py
@@ -7,7 +7,7 @@
 from oakramp.common.constants import BLUEPRINT_AGE, FRESH_POLL, REPLICA_AGE
 from oakramp.common.errors import BadRequestError, NotFoundError, QuorumUnavailableError, RequestRejectedError
 from oakramp.common.tasks import sleep, spawn
-from oakramp.control.plan import news_of
+from oakramp.control.plan import gossiped_plan
 from oakramp.control.replica_registry import REPLICAS_KEY
 
 
@@ -56,7 +56,7 @@
 
     def staleness(self, partner):
         """Why a request of this partner may not be carried now, or None."""
-        if news_of(self._state_table, partner)[0] > BLUEPRINT_AGE:
+        if gossiped_plan(self._state_table, partner)[0] > BLUEPRINT_AGE:
             return "the blueprint's news is too old"
         if self._state_table.age(REPLICAS_KEY) > REPLICA_AGE:
             return "the replicas' news is too old"
@@ -77,7 +77,7 @@
         return self.find(partner, name, kind)
 
     def _unconfirmed_since(self, partner, asked_at):
-        confirmed_at = self._node.reactor.seconds() - news_of(self._state_table, partner)[0]
+        confirmed_at = self._node.reactor.seconds() - gossiped_plan(self._state_table, partner)[0]
         return None if confirmed_at >= asked_at else "no news have come since it was asked"
 
     async def _wait_while(self, obstacle, ends_at):
