--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -108,7 +108,7 @@
             "this node's copy of the blueprint is too old, so the program was not opened", retry_after=1
         )
     if rest is None:
-        raise NotFoundError(f"no partner named {partner}")
+        raise NotFoundError(f"no partner {partner}")
     return rest["programs"]
 
 
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -1,8 +1,9 @@
-"""The published key `placement`: tenants in mutual eviction, and the replicas that each of them is given.
+"""The published key `placement`: tenants that evict each other's prefixes, and the replicas assigned to each of them.
 
-Gates report to the owner what they count; reports live only as long as this ownership and are written nowhere. The duty
-of the key's owner finds who is trapped and writes the plan, a row a service, when it changes. The plan's news are as
-new as the duty's last round, so that a plan that nobody looks after any more grows old, and gates place as ever.
+Gateways report their counts to the leader of the key's shard; reports are not stored and last as long as its
+leadership. A singleton task on that leader finds the tenants in mutual eviction and writes the plan, one row a service,
+when it changes. The published plan is confirmed as of the task's last round: if the task stops, the plan becomes stale,
+and gateways place requests as without one.
 """
 
 import json
@@ -28,15 +29,15 @@
 
 PLACEMENT_KEY = "placement"
 ROWS = f"{PLACEMENT_KEY}#"
-WINDOWS, SHOWN = "placement windows", "placement shown"
-HIGHEST = 1 << 53
+WINDOWS_MARK, FINDINGS_MARK = "placement windows", "placement shown"
+NUMBER_LIMIT = 1 << 53
 
 
 def _is_count(number):
-    return type(number) is int and 0 <= number < HIGHEST
+    return type(number) is int and 0 <= number < NUMBER_LIMIT
 
 
-def _is_tenant(row):
+def _is_tenant_report(row):
     return (
         isinstance(row, list)
         and len(row) == 5
@@ -44,11 +45,11 @@
         and row[0] > 0
         and isinstance(row[4], list)
         and len(row[4]) <= TENANT_PARTS_TOLD
-        and all(map(_is_part, row[4]))
+        and all(map(_is_part_report, row[4]))
     )
 
 
-def _is_part(part):
+def _is_part_report(part):
     return (
         isinstance(part, list)
         and len(part) == 4
@@ -58,27 +59,29 @@
 
 
 REPORT = {
-    "cache": whole(1, HIGHEST),
+    "cache": whole(1, NUMBER_LIMIT),
     "tenants": And(
         dict,
         lambda rows: (
             len(rows) <= TENANTS_TOLD
-            and all(map(_is_tenant, rows.values()))
+            and all(map(_is_tenant_report, rows.values()))
             and all(len(name) <= TENANT_ID_LIMIT for name in rows)
         ),
-        error="must map tenants to [requests, late, tokens, fresh, parts]",
+        error="must map tenants to lists of [requests, late, tokens, fresh, parts]",
+    ),
+    "rest": And(
+        [whole(0, NUMBER_LIMIT)], lambda counts: len(counts) == 4, error="must be [requests, late, tokens, fresh]"
     ),
-    "rest": And([whole(0, HIGHEST)], lambda counts: len(counts) == 4, error="must be [requests, late, tokens, fresh]"),
 }
 
 
-# placement. Invariants: the head's version rises with each change of a row; a row's tenants name replicas that were
-# ready.
+# Invariants of the key: the head's version rises with each change of a row; a row assigns its tenants only replicas
+# that were ready when it was written.
 
 
-def _report(transaction, key, arguments):
-    check_fields({"gate": str, "number": whole(0, HIGHEST), "services": dict}, arguments)
-    windows = transaction.context.marks.setdefault(WINDOWS, {})
+def _add_report(transaction, key, arguments):
+    check_fields({"gate": str, "number": whole(0, NUMBER_LIMIT), "services": dict}, arguments)
+    windows = transaction.context.marks.setdefault(WINDOWS_MARK, {})
     for service, report in arguments["services"].items():
         check_fields(REPORT, report)
         windows.setdefault(service, Window()).add(
@@ -91,7 +94,7 @@
     return {key.partition("#")[2]: transaction.get(key) for key in transaction.committed_keys(ROWS)}
 
 
-def _set(transaction, key, arguments):
+def _set_row(transaction, key, arguments):
     check_fields({"service": NAME, "mode": one_of(*EVICTION_MODES), "tenants": dict}, arguments)
     version = (transaction.get(key) or {"version": 0})["version"] + 1
     transaction.put(key, {"version": version})
@@ -100,16 +103,16 @@
     return {"version": version}
 
 
-def _read(transaction, key, _arguments):
+def _read_placement(transaction, key, _arguments):
     return {
         "version": (transaction.get(key) or {"version": 0})["version"],
         "services": _rows(transaction),
-        "findings": transaction.context.marks.get(SHOWN, {}),
+        "findings": transaction.context.marks.get(FINDINGS_MARK, {}),
     }
 
 
 def _snapshot(transaction, key):
-    """An item a service: {tenant: replicas}. What is only tried out is told to no gate."""
+    """One item for each service: {tenant: replicas}. Rows in a mode other than `on` are not published to gateways."""
     return (transaction.get(key) or {"version": 0})["version"], {
         service: pack_json({tenant: one["replicas"] for tenant, one in row["tenants"].items()})
         for service, row in _rows(transaction).items()
@@ -117,11 +120,13 @@
     }
 
 
-CONTROLLERS.enter(PLACEMENT_KEY)(Controller({"report": _report, "set": _set, "read": _read}, snapshot=_snapshot))
+CONTROLLERS.enter(PLACEMENT_KEY)(
+    Controller({"report": _add_report, "set": _set_row, "read": _read_placement}, snapshot=_snapshot)
+)
 
 
-def shown(outcome):
-    """The findings as operators see them, the worst first."""
+def findings_shown(outcome):
+    """The findings in the form findings_shown to operators, the worst first."""
     worst = sorted(outcome.findings.values(), key=lambda one: (-one.evicted * one.load.rate, one.tenant))[
         :FINDINGS_SHOWN
     ]
@@ -141,12 +146,15 @@
 
 
 class PrefixPlacementTask(SingletonTask):
-    """Invariant: `leaders.pollTimes[placement]` is when this holder's last whole round began."""
+    """Finds tenants in mutual eviction and assigns them replicas.
+
+    Invariant: `poll_times[PLACEMENT_KEY]` of the leaders' publisher is when the last complete round of this task began.
+    """
 
     def __init__(self, node, leaders):
         super().__init__(node, leaders, PLACEMENT_KEY, EVICTION_ROUND)
-        self._decisions, self._decided_for = {}, None
-        self._told = {}
+        self._decisions, self._decided_leader = {}, None
+        self._logged = {}
         self.counts = Counter()
         leaders.publisher.poll_times[PLACEMENT_KEY] = float("-inf")
 
@@ -154,24 +162,24 @@
     def mode(self):
         return eviction_mode(self._node.env)
 
-    async def _work(self, owner):
+    async def _work(self, leader):
         if self.mode == "off":
             return
-        if owner is not self._decided_for:
-            self._decisions, self._decided_for, self._told = {}, owner, {}
+        if leader is not self._decided_leader:
+            self._decisions, self._decided_leader, self._logged = {}, leader, {}
         now = self._node.reactor.seconds()
-        windows = owner.marks.get(WINDOWS, {})
-        rows = (await owner.do(PLACEMENT_KEY, "read", {}))["services"]
-        ready = self._ready() if windows or rows else {}
-        owner.marks[SHOWN] = {}
+        windows = leader.marks.get(WINDOWS_MARK, {})
+        rows = (await leader.do(PLACEMENT_KEY, "read", {}))["services"]
+        ready = self._ready_replicas() if windows or rows else {}
+        leader.marks[FINDINGS_MARK] = {}
         for service in sorted(windows.keys() | rows.keys()):
-            await self._round_of(
-                owner, service, windows.setdefault(service, Window()), rows.get(service), ready.get(service, []), now
+            await self._place_service(
+                leader, service, windows.setdefault(service, Window()), rows.get(service), ready.get(service, []), now
             )
-        if not owner.ended:
+        if not leader.ended:
             self._owners.publisher.poll_times[PLACEMENT_KEY] = now
 
-    def _ready(self):
+    def _ready_replicas(self):
         """The ids of the replicas that are ready, by service."""
         ready = {}
         for name, value in sorted(self._node.state_table.values(REPLICAS_KEY).items()):
@@ -180,20 +188,20 @@
                 ready.setdefault(row["pool"], []).append(name)
         return ready
 
-    async def _round_of(self, owner, service, window, row, replicas, now):
+    async def _place_service(self, leader, service, window, row, replicas, now):
         loads, flow = window.loads(now)
         if not loads and row is None:
-            del owner.marks[WINDOWS][service]
+            del leader.marks[WINDOWS_MARK][service]
             self._decisions.pop(service, None)
             return
         previous = row["tenants"] if row else {}
         outcome = self._decisions.setdefault(service, Decision()).next(
             loads, flow, window.cache_tokens, replicas, previous
         )
-        owner.marks[SHOWN][service] = shown(outcome)
-        self._tell(service, outcome)
+        leader.marks[FINDINGS_MARK][service] = findings_shown(outcome)
+        self._log_findings(service, outcome)
         if outcome.rows != previous or (row and row["mode"] != self.mode):
-            await owner.do(PLACEMENT_KEY, "set", {"service": service, "mode": self.mode, "tenants": outcome.rows})
+            await leader.do(PLACEMENT_KEY, "set", {"service": service, "mode": self.mode, "tenants": outcome.rows})
             self.counts.update(moved=len(outcome.moved), let_go=len(outcome.let_go))
             self._node.log.info(
                 "eviction_plan_changed",
@@ -205,10 +213,10 @@
                 first=",".join((outcome.moved or outcome.let_go)[:TENANTS_NAMED]),
             )
 
-    def _tell(self, service, outcome):
-        """One line when who is trapped, or who finds no room, changes; not one a round."""
+    def _log_findings(self, service, outcome):
+        """Logs when tenants begin or cease to be trapped, or to be without room; not in every round."""
         trapped = sorted(name for name, one in outcome.findings.items() if one.is_trapped)
         for event, names in (("eviction_detected", trapped), ("eviction_capacity_missing", outcome.without_room)):
-            if bool(names) != bool(self._told.get((event, service))):
+            if bool(names) != bool(self._logged.get((event, service))):
                 self._node.log.info(event, service=service, tenants=len(names), first=",".join(names[:TENANTS_NAMED]))
-            self._told[event, service] = names
+            self._logged[event, service] = names
--- a/packages/control/oakramp/control/replica_registry.py
+++ b/packages/control/oakramp/control/replica_registry.py
@@ -1,4 +1,4 @@
-"""The published key `replicas`: what the platform lists."""
+"""The published key `replicas`: the replicas that the platform lists."""
 
 from schema import Optional, Or
 
@@ -12,7 +12,7 @@
 LABEL = Or(
     None,
     lambda text: isinstance(text, str) and len(text) <= NAME_LIMIT,
-    error=f"must be a text of at most {NAME_LIMIT} characters",
+    error=f"must be a string of at most {NAME_LIMIT} characters",
 )
 REPLICA = {
     "id": NAME,
@@ -26,27 +26,27 @@
     ),
     Optional("version_label"): LABEL,
 }
-NEEDED = [key for key in REPLICA if not isinstance(key, Optional)]
-BESIDES = [key.schema for key in REPLICA if isinstance(key, Optional)]
+REQUIRED_FIELDS = [key for key in REPLICA if not isinstance(key, Optional)]
+OPTIONAL_FIELDS = [key.schema for key in REPLICA if isinstance(key, Optional)]
 
 
-def readable(row):
-    """The row with what is known of a replica, or None if that does not say what it is. What is only told besides
-    and cannot be read is left out."""
-    row = {name: row[name] for name in (*NEEDED, *BESIDES) if row.get(name) is not None}
+def valid_fields(row):
+    """The row reduced to its valid fields, or None if a required field is missing or invalid. Invalid optional fields
+    are left out."""
+    row = {name: row[name] for name in (*REQUIRED_FIELDS, *OPTIONAL_FIELDS) if row.get(name) is not None}
     faulty = {fault.partition(":")[0] for fault in faults_of(REPLICA, row)}
-    return None if faulty & set(NEEDED) else {name: value for name, value in row.items() if name not in faulty}
+    return None if faulty & set(REQUIRED_FIELDS) else {name: value for name, value in row.items() if name not in faulty}
 
 
 def _state(transaction, key):
     return transaction.get(key) or {"version": 0, "replicas": {}}
 
 
-# replicas. Invariants: a replica once known to be leaving stays so until the list has dropped it; how long it is cold
-# stands as it was first told until it is over, so that the time that passes is not news.
+# Invariants of the key: a replica that is known to be leaving stays so until the list drops it; `cold_s`, how long
+# it is cold, keeps its first value until that time is over, so that the passing of time is not a change to publish.
 
 
-def _stands(row, previous):
+def _keep_known_state(row, previous):
     if previous is None:
         return row
     if previous["state"] == "leaving":
@@ -60,9 +60,9 @@
     check_fields({"replicas": list}, arguments)
     state = _state(transaction, key)
     previous = state["replicas"]
-    replicas = {row["id"]: _stands(row, previous.get(row["id"])) for row in arguments["replicas"]}
+    replicas = {row["id"]: _keep_known_state(row, previous.get(row["id"])) for row in arguments["replicas"]}
     if len(replicas) != len(arguments["replicas"]):
-        raise BadRequestError("a replica is listed twice")
+        raise BadRequestError("the list has two rows with one replica id")
     if replicas == previous:
         return {"version": state["version"]}
     for replica_id, row in replicas.items():
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -816,14 +816,14 @@
     CodeMutation(
         "others asked to look at the platform",
         "control/oakramp/control/replica_discovery.py",
-        "works | {self._node.node_id: own}",
+        "polls | {self._node.node_id: own}",
         "{self._node.node_id: own}",
         "test_faults.GateFaults.test_platform_cut_off_from_the_owner_of_its_list",
     ),
     CodeMutation(
         "a majority says that nobody reaches the platform",
         "control/oakramp/control/replica_discovery.py",
-        "if voting_config.is_quorum(away):",
+        "if voting_config.is_quorum(unreachable_from):",
         "if True:",
         "test_faults.GateFaults.test_owner_that_alone_says_nobody_reaches_the_platform",
     ),
