--- a/packages/control/oakramp/control/replica_ordering.py
+++ b/packages/control/oakramp/control/replica_ordering.py
@@ -1,4 +1,4 @@
-"""The fenced task of ordering replicas: one node sizes each service by what gateways report, and tells the platform."""
+"""The fenced task of replica orders: one node sizes services by reported demand and sends orders to the platform."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from oakramp.control.shard_leader import ShardLeader
     from oakramp.gossip.node import Node
 
-SIZING_ROUND = 1.0  # s; as often as gateways report
-REPORTING_SHARE = 0.8  # of the live gateways; with fewer reports than that the demand is not known
+SIZING_ROUND = 1.0  # s; the interval at which gateways report
+REPORTING_SHARE = 0.8  # of the live gateways; with fewer reports the demand counts as unknown
 READY = "ready"
 
 
 class FleetView:
-    """What this node knows by gossip: the services whose number of replicas is ours to choose, and the replicas.
+    """What this node knows by gossip: the replicas, and the services whose number of replicas this task chooses.
 
     `services` has {replica_range, slots} by name, of the version in `_version`.
     """
@@ -40,7 +40,7 @@
         self.services: dict[str, dict[str, Any]] = {}
 
     def is_fresh(self) -> bool:
-        """Whether replicas and configuration were confirmed lately. Reads a new configuration."""
+        """Whether replicas and configuration were confirmed within their age bounds. Reads a new configuration."""
         bounds, table = self._node.env.get("bounds") or {}, self._node.state_table
         if table.age(REPLICAS_KEY) > bounds.get("leaving_s", REPLICA_AGE):
             return False
@@ -69,8 +69,8 @@
                 by_service.setdefault(row["pool"], []).append(row)
         return by_service
 
-    def are_enough(self, gateways: int) -> bool:
-        """Whether so many gateways are nearly all that live."""
+    def is_demand_known(self, gateways: int) -> bool:
+        """Whether this number of gateways is at least REPORTING_SHARE of the live ones."""
         live = self._node.members.live_count("gate")
         return live > 0 and gateways >= math.ceil(REPORTING_SHARE * live)
 
@@ -82,13 +82,13 @@
 
 
 def slots_of(service: dict[str, Any], rows: Iterable[dict[str, Any]]) -> float | None:
-    """Requests that a replica works on at once, on average; None if nobody tells."""
+    """Concurrent requests of one replica, on average over the list, or else as configured; None if neither is known."""
     reported = [row["slots"] for row in rows if row.get("slots")]
     return sum(reported) / len(reported) if reported else service.get("slots")
 
 
 def zones_of(rows: Iterable[dict[str, Any]], ordered: dict[str, int]) -> dict[str, ZoneReplicas]:
-    """The replicas of each zone in which the service runs, or was ordered to; `ordered` has the numbers by zone."""
+    """The replicas of each zone in which the service runs or was ordered; `ordered` has the ordered counts by zone."""
     ready, leaving = Counter[str](), Counter[str]()
     for row in rows:
         (ready if row["state"] == READY else leaving)[row["zone"]] += 1
@@ -97,9 +97,9 @@
 
 
 class ReplicaSizingTask(SingletonTask):
-    """Decides on orders, and has them replicated; nothing is sent here.
+    """Decides on orders and replicates them; it sends nothing.
 
-    Invariant: `_sizings` were observed in the leadership of `_leader` only.
+    Invariant: `_sizings` hold only demand that was observed while `_leader` leads.
     """
 
     def __init__(self, node: Node, leaders: LeaderRegistry, view: FleetView) -> None:
@@ -116,7 +116,7 @@
             return
         known = orders_in(leader.entries)
         ended = [list(subject) for subject in known if subject[0] not in self._view.services]
-        orders = self._orders(known, demand) if self._view.are_enough(gateways) else []
+        orders = self._orders(known, demand) if self._view.is_demand_known(gateways) else []
         if not orders and not ended:
             return
         await leader.do(ORDERS_KEY, "set", {"orders": orders, "ended": ended})
@@ -130,7 +130,7 @@
             )
 
     def _orders(self, known: dict[Subject, dict[str, Any]], demand: Counter[str]) -> list[dict[str, Any]]:
-        """The orders that differ from what is known to be ordered."""
+        """The orders that differ from those already replicated."""
         now, listed = self._node.reactor.seconds(), self._view.replicas()
         orders = []
         for name, service in self._view.services.items():
@@ -147,7 +147,7 @@
 
 
 class ReplicaOrderTask(FencedTask):
-    """Tells the platform of orders that it has not accepted yet, one at a time."""
+    """Sends the orders that the platform has not accepted yet, one at a time."""
 
     def __init__(self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat) -> None:
         super().__init__(node, leaders, ORDERS_KEY, caller)
@@ -169,7 +169,7 @@
 
 
 class ReplicaOrdering:
-    """The parts of this task on one node."""
+    """Both tasks on one node: sizing services and sending orders."""
 
     def __init__(
         self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat, dialect: Any
@@ -180,16 +180,16 @@
         self._orders = ReplicaOrderTask(node, leaders, caller, form)
 
     def start(self) -> None:
-        """Starts to size services and to order while this node leads the shard."""
+        """Starts both tasks; they work while this node leads the shard."""
         self._sizing.start()
         self._orders.start()
 
     def stop(self) -> None:
-        """Orders nothing more."""
+        """Stops both tasks."""
         self._sizing.stop()
         self._orders.stop()
 
     def orders_owed(self) -> int:
-        """How many orders the platform has not accepted yet; 0 on a node that does not hold the fenced task."""
+        """The number of orders not accepted by the platform yet; 0 on a node that does not run the fenced task."""
         leader = self._leaders.active.get(self._shard)
         return 0 if leader is None else sum(map(is_owed, orders_in(leader.entries).values()))
--- a/packages/control/oakramp/control/replica_orders.py
+++ b/packages/control/oakramp/control/replica_orders.py
@@ -1,14 +1,15 @@
-"""Orders of replicas: how many of a service are to run in a zone. They are replicated before the platform is told.
+"""Replica orders: how many replicas of a service are to run in a zone. They are replicated before they are sent.
 
 Rows of the key "replicaOrders":
 - `replicaOrders#order/SERVICE/ZONE` {service, zone, count, accepted, refusals}: the last order for this service in this
-  zone, whether the platform has accepted it, and how often it has refused it for good.
+  zone, whether the platform has accepted it, and how often it has rejected it permanently.
 
 Invariants:
-- what was sent to the platform stands in its row, so that a successor repeats it as it is, or goes on from it;
+- an order that was sent to the platform is in its row, so that a new leader repeats it unchanged or continues from it;
 - a row with `accepted` set has been accepted by the platform with this number.
 
-What gateways report of demand is not replicated: it stands in the leadership's marks, and is soon told anew.
+The demand that gateways report is not replicated: it is kept in the leader's memory (`marks`), and gateways report it
+again within seconds.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 ORDERS_KEY = "replicaOrders"
 ORDER_ROWS = f"{ORDERS_KEY}#order/"
 AFTER_ORDER_ROWS = ORDER_ROWS[:-1] + chr(ord("/") + 1)
-DEMAND_MARK = "replica demand"  # by gateway: (when it came, its number, active and refused requests by service)
-DEMAND_AGE = 3.0  # s; a gateway that was silent for longer is counted no more
+DEMAND_MARK = "replica demand"  # by gateway: (arrival time, number, active and refused requests by service)
+DEMAND_AGE = 3.0  # s; the report of a gateway that has been silent for longer no longer counts
 NUMBER_LIMIT = 1 << 53
-NAME_TEXT: Any = And(str, len, error="must be a name")
+NAME_STRING: Any = And(str, len, error="must be a name")
 NUMBER = whole(0, NUMBER_LIMIT)
-ORDER = {"service": NAME_TEXT, "zone": NAME_TEXT, "count": NUMBER}
-DEMAND = {"gateway": NAME_TEXT, "number": NUMBER, "active": dict, "refused": dict}
+ORDER = {"service": NAME_STRING, "zone": NAME_STRING, "count": NUMBER}
+DEMAND = {"gateway": NAME_STRING, "number": NUMBER, "active": dict, "refused": dict}
 Subject = tuple[str, str]  # service, zone
 
 
@@ -55,9 +56,9 @@
 
 
 def demand_in(marks: dict[str, Any], now: float) -> tuple[int, Counter[str]]:
-    """(gateways heard lately, requests by service) of what was reported in this leadership.
+    """(number of gateways with a recent report, requests by service), from the reports to this leader.
 
-    Refused requests count for no more than the active ones: their callers come again, and are counted each time.
+    Refused requests count at most as many as the active ones: their callers retry, and each retry is counted again.
     """
     active, refused = Counter[str](), Counter[str]()
     recent = [report for report in marks.get(DEMAND_MARK, {}).values() if now - report[0] <= DEMAND_AGE]
@@ -69,10 +70,10 @@
     return len(recent), active
 
 
-def _demand(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """Takes the requests by service that a gateway has under way, and those that it refused lately. Nothing is written.
+def _report_demand(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    """Takes a gateway's numbers of active and of recently refused requests by service. Nothing is written.
 
-    `number` rises from one message of a gateway to its next, so that one that is overtaken changes nothing.
+    `number` rises with each message of a gateway, so that a message that arrives out of order is ignored.
     """
     check_fields(DEMAND, arguments)
     active, refused = _counts(arguments["active"]), _counts(arguments["refused"])
@@ -94,9 +95,9 @@
 
 
 def _set_orders(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """Replaces orders by other numbers, and removes those of `ended` subjects, [service, zone] pairs.
+    """Sets orders whose count differs from their row, and deletes those of `ended` subjects, [service, zone] pairs.
 
-    An order for the number that stands in its row already changes nothing.
+    An order with the count that its row already has changes nothing.
     """
     check_fields({"orders": list, "ended": list}, arguments)
     for order in arguments["orders"]:
@@ -116,18 +117,18 @@
 
 
 def is_owed(row: dict[str, Any]) -> bool:
-    """Whether the platform is still to be told of this order."""
+    """Whether this order still has to be sent to the platform."""
     return not row["accepted"] and row["refusals"] < FENCED_REFUSALS_MOST
 
 
 def _owed(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
-    """The first order that the platform is still to be told of, or None."""
+    """The first order that still has to be sent to the platform, or None."""
     row = next(filter(is_owed, _rows(transaction)), None)
     return {"order": row and {name: row[name] for name in ORDER}}
 
 
 def _accepted(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """The platform has accepted this order; a newer one is still owed."""
+    """Records that the platform has accepted this order; a newer one for the same subject is still owed."""
     check_fields(ORDER, arguments)
     row = order_row(arguments["service"], arguments["zone"])
     known = transaction.get(row)
@@ -137,7 +138,7 @@
 
 
 def _refused(transaction: Transaction, _key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """The platform has refused this order for good; {given_up}: whether it is not sent again."""
+    """Records that the platform has rejected this order permanently; {given_up}: whether it is not sent again."""
     check_fields(ORDER, arguments)
     row = order_row(arguments["service"], arguments["zone"])
     known = transaction.get(row)
@@ -149,7 +150,7 @@
 
 
 def _read(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
-    """For operators: all orders, and the demand as it is known now."""
+    """For operators: all orders, and the current demand."""
     context = transaction.context
     gateways, demand = demand_in(context.marks, context.now)
     return {"orders": list(_rows(transaction)), "gatewaysHeard": gateways, "demand": dict(demand)}
@@ -158,7 +159,7 @@
 CONTROLLERS.enter(ORDERS_KEY)(
     Controller(
         {
-            "demand": _demand,
+            "demand": _report_demand,
             "set": _set_orders,
             "owed": _owed,
             "accepted": _accepted,
--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -1,16 +1,17 @@
-"""Usage: how many requests of each tenant began in each window of wall time, counted at the gateways.
+"""Usage accounting: the requests of each tenant that began in each window of wall time, counted at the gateways.
 
 Rows of the key "usage":
 - `usage`, the head {next, sent}: the first window that is not closed yet, and the last one that was delivered or None;
-- `usage#count/WINDOW/GATEWAY` {number, counts}: what a gateway has counted so far in a window that is not closed;
+- `usage#count/WINDOW/GATEWAY` {number, counts}: the counts of a gateway so far in a window that is not closed;
 - `usage#window/WINDOW` {counts}: the totals of a closed window that is not delivered yet.
 
 Invariants:
 - a window is closed once: `next` only rises, and the totals of a closed window never change;
-- a count is in its window's total, or came after the close and is dropped;
-- counts are a gateway's whole sum for the window, so that one that is repeated or overtaken changes nothing.
+- a count is in the total of its window, or it arrived after the close and is dropped;
+- counts are cumulative for a gateway and window, so that a message that is repeated or out of order changes nothing.
 
-What gateways tell of wall time is not replicated: it stands in the leadership's marks, and is soon told anew.
+The wall times that gateways report are not replicated: they are kept in the leader's memory (`marks`), and gateways
+report them again within seconds.
 """
 
 from __future__ import annotations
@@ -59,24 +60,24 @@
 
 
 def clocks_in(marks: dict[str, Any]) -> ClockVoices:
-    """The clocks of the machines that this leadership has heard of."""
+    """The wall clocks that were reported to this leader."""
     clocks: ClockVoices = marks.setdefault(CLOCKS_KEY, ClockVoices())
     return clocks
 
 
 def _count(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """Takes what a gateway has counted so far in windows that are not closed.
+    """Takes a gateway's cumulative counts of the windows that are not closed.
 
-    `number` rises from one message of a gateway to its next; `windows` maps a window's number to counts by tenant;
-    `time` is the gateway's own wall time in seconds, left out by earlier releases.
+    `number` rises with each message of a gateway; `windows` maps a window's number to counts by tenant; `time` is the
+    gateway's own wall time in seconds, which earlier releases leave out.
 
     Returns:
-        {next, time, settled}: counts of windows before `next` are not wanted any more; 0 while no window is open yet.
-        `time` is the fleet's wall time, None while too few machines tell theirs, or, with `settled` unset, while this
-        leadership has just begun.
+        {next, time, settled}: counts of windows before `next` are no longer needed; it is 0 while no window is open
+        yet. `time` is the cluster's wall time; it is None if too few machines report theirs, or, with `settled` false,
+        for USAGE_CLOCKS_SETTLE seconds after this node became leader.
     """
     check_fields(COUNT, arguments)
-    windows = {_window(text): _checked(counts) for text, counts in arguments["windows"].items()}
+    windows = {_parse_window(text): _check_counts(counts) for text, counts in arguments["windows"].items()}
     context = transaction.context
     is_stable = context.age_of(key) >= USAGE_CLOCKS_SETTLE
     clocks = clocks_in(context.marks)
@@ -98,31 +99,31 @@
         transaction.put(row, {"number": number, "counts": counts})
 
 
-def _window(text: Any) -> int:
+def _parse_window(text: Any) -> int:
     if not isinstance(text, str) or not text.isascii() or not text.isdigit() or len(text) > 12:
-        raise BadRequestError("windows: must be by number")
+        raise BadRequestError("windows: keys must be window numbers")
     return int(text)
 
 
-def _checked(counts: Any) -> dict[str, int]:
-    is_fine = isinstance(counts, dict) and all(
+def _check_counts(counts: Any) -> dict[str, int]:
+    is_valid = isinstance(counts, dict) and all(
         type(count) is int and 0 <= count < NUMBER_LIMIT for count in counts.values()
     )
-    if not is_fine:
-        raise BadRequestError("windows: must hold whole numbers by tenant")
+    if not is_valid:
+        raise BadRequestError("windows: values must map tenants to whole numbers")
     return counts
 
 
 def _close(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """Closes all windows up to `through`; the first one ever is the one under way, `current`.
+    """Closes all windows up to `through`; the first window ever is the current one, `current`.
 
-    Of windows missed for long, the newest USAGE_WINDOWS_KEPT are kept.
+    If more than USAGE_WINDOWS_KEPT windows are due, only the newest USAGE_WINDOWS_KEPT are kept.
 
     Returns:
-        {closed, next}: how many windows this has closed.
+        {closed, next}: how many windows were closed, and the first that is not closed.
     """
     check_fields(CLOSE, arguments)
-    transaction.context.age_of(key)  # the first command under a leader marks since when it leads
+    transaction.context.age_of(key)  # the first command under a new leader records since when it leads
     head, through = transaction.get(key), arguments["through"]
     if head is None:
         head = {"next": arguments["current"], "sent": None}
@@ -145,7 +146,7 @@
 
 
 def _owed(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
-    """The oldest window that is not delivered, with its counts; None for both if there is none."""
+    """The oldest closed window that is not delivered, with its counts; None for both if there is none."""
     row = next(iter(transaction.keys(WINDOW_ROWS)), None)
     if row is None:
         return {"window": None, "counts": None}
@@ -153,7 +154,7 @@
 
 
 def _delivered(transaction: Transaction, key: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """The platform has this window's counts; they are kept no longer."""
+    """Records that the platform has accepted this window's counts, and deletes them."""
     check_fields({"window": WINDOW}, arguments)
     row = window_row(arguments["window"])
     if transaction.packed(row) is not None:
@@ -164,7 +165,7 @@
 
 
 def _read(transaction: Transaction, key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
-    """For operators; `heldFor` and `deliveredAge` in seconds, the latter None if this leader delivered nothing."""
+    """For operators; `heldFor` and `deliveredAge` in seconds, the latter None if this leader has delivered nothing."""
     head = transaction.get(key) or {"next": None, "sent": None}
     owed = [window_of_row(row) for row in transaction.keys(WINDOW_ROWS)]
     context, delivered_key = transaction.context, WINDOW_ROWS.partition("/")[0]
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -1,4 +1,4 @@
-"""The fenced task of reporting usage: one node closes each window once it is over, and reports what was closed."""
+"""The fenced task of usage reports: one node closes each window after its end, and reports the closed windows."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     from oakramp.control.shard_leader import ShardLeader
     from oakramp.gossip.node import Node
 
-WINDOW_DEFAULT = 5.0  # s; where the bounds name none
+WINDOW_DEFAULT = 5.0  # s; if the bounds set none
 AFTER_WINDOW_ROWS = WINDOW_ROWS[:-1] + chr(ord("/") + 1)
 
 
 def count_owed(leader: ShardLeader) -> int:
-    """How many windows are closed and not delivered."""
+    """The number of windows that are closed and not delivered."""
     return sum(1 for _ in leader.entries.irange(WINDOW_ROWS, AFTER_WINDOW_ROWS))
 
 
 class UsageWindowsTask(SingletonTask):
-    """Closes each window USAGE_GRACE after its end, whether or not the platform can be reached.
+    """Closes each window USAGE_GRACE after its end, whether or not the platform is reachable.
 
-    A new leader closes nothing for as long: gateways could not tell their last counts while the shard had no leader,
-    nor what their clocks say. The first window ever is the one in which that leader began.
+    A new leader closes nothing for USAGE_GRACE: gateways could not report their last counts, nor their clocks, while
+    the shard had no leader. The first window ever is the one in which the first leader began.
 
-    Invariant: `_closed` is the leader and the last window that it was asked to close.
+    Invariant: `_closed` is (leader, the last window that it was asked to close).
     """
 
     def __init__(self, node: Node, leaders: LeaderRegistry, clock: SteadyWallClock) -> None:
@@ -42,7 +42,7 @@
         self._closed: tuple[ShardLeader | None, int] = (None, 0)
 
     async def _work(self, leader: ShardLeader) -> None:
-        now = self._fleet_time(leader)
+        now = self._cluster_time(leader)
         led_for = self._node.reactor.seconds() - leader.serves_since
         if led_for < USAGE_GRACE:
             return
@@ -55,17 +55,17 @@
         if result["closed"]:
             self._node.log.debug("usage_window_closed", window=through, closed=result["closed"], epoch=leader.epoch)
 
-    def _fleet_time(self, leader: ShardLeader) -> float:
-        """The median wall time of this node and the gateways; its own while they are too few."""
+    def _cluster_time(self, leader: ShardLeader) -> float:
+        """The median wall time of this node and the gateways; this node's own if too few gateways report theirs."""
         now, own = self._node.reactor.seconds(), self._clock.now()
         clocks = clocks_in(leader.marks)
         clocks.hear(self._node.node_id, own, now)
-        fleet = clocks.time(now)
-        return own if fleet is None else fleet
+        cluster = clocks.time(now)
+        return own if cluster is None else cluster
 
 
 class UsageReportTask(FencedTask):
-    """Reports closed windows, the oldest first, one at a time."""
+    """Sends closed windows to the platform, the oldest first, one at a time."""
 
     def __init__(self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat) -> None:
         super().__init__(node, leaders, USAGE_KEY, caller)
@@ -82,7 +82,7 @@
                 await leader.do(USAGE_KEY, "delivered", {"window": owed["window"]})
 
     def _is_given_up(self, outcome: CallOutcome, window: int) -> bool:
-        """Whether the platform has refused this window for good so often that the next ones should not wait for it."""
+        """Whether the platform has permanently rejected this window so often that later ones must not wait for it."""
         self._refusals = self._refusals + 1 if outcome is CallOutcome.REFUSED else 0
         if self._refusals < FENCED_REFUSALS_MOST:
             return False
@@ -92,7 +92,7 @@
 
 
 class UsageReporting:
-    """The parts of this task on one node."""
+    """Both tasks on one node: closing windows and reporting them."""
 
     def __init__(
         self, node: Node, leaders: LeaderRegistry, caller: FencedCaller, form: CallFormat, clock: SteadyWallClock
@@ -103,16 +103,16 @@
         self._report = UsageReportTask(node, leaders, caller, form)
 
     def start(self) -> None:
-        """Starts to close and report windows while this node leads the shard."""
+        """Starts both tasks; they work while this node leads the shard."""
         self._windows.start()
         self._report.start()
 
     def stop(self) -> None:
-        """Closes and reports no more windows."""
+        """Stops both tasks."""
         self._windows.stop()
         self._report.stop()
 
     def windows_owed(self) -> int:
-        """How many windows are closed and not delivered; 0 on a node that does not hold the fenced task."""
+        """The number of windows closed and not delivered; 0 on a node that does not run the fenced task."""
         leader = self._leaders.active.get(self._shard)
         return 0 if leader is None else count_owed(leader)
--- a/packages/testbed/oakramp/testbed/rush_sizing.py
+++ b/packages/testbed/oakramp/testbed/rush_sizing.py
@@ -43,7 +43,7 @@
         self._versions = 1
         if self.orders == "most":
             for zone in ZONES:
-                if more := REPLICA_RANGE.most - self._zone(zone).standing:
+                if more := REPLICA_RANGE.most - self._zone(zone).expected:
                     self._order(zone, REPLICA_RANGE.most, more)
         spawn(self._every_second(), self.log)
 
@@ -67,7 +67,7 @@
         self._sizing.observe(now, active + min(refused, max(1, active)))
         zones = {zone: self._zone(zone) for zone in ZONES}
         for zone, wanted in self._sizing.orders(now, ENGINE.berths, REPLICA_RANGE, zones).items():
-            self._order(zone, wanted, wanted - zones[zone].standing)
+            self._order(zone, wanted, wanted - zones[zone].expected)
 
     def _order(self, zone: str, wanted: int, more: int) -> None:
         self.ordered[zone] = wanted
