--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -126,7 +126,7 @@
 
 
 def findings_shown(outcome):
-    """The findings in the form findings_shown to operators, the worst first."""
+    """The findings as shown to operators, the worst first."""
     worst = sorted(outcome.findings.values(), key=lambda one: (-one.evicted * one.load.rate, one.tenant))[
         :FINDINGS_SHOWN
     ]
--- a/packages/control/oakramp/control/routing.py
+++ b/packages/control/oakramp/control/routing.py
@@ -151,10 +151,10 @@
     """The faults of a routing table, whatever format its configuration was written in."""
     seen, faults = {}, []
     for route in table["routes"]:
-        name, address = route["name"], (host_of(route["host"]), route["path_prefix"])
-        if address in seen:
-            faults.append(f"{name}: has the same host and path prefix as {seen[address]}")
-        seen.setdefault(address, name)
+        name, host_and_prefix = route["name"], (host_of(route["host"]), route["path_prefix"])
+        if host_and_prefix in seen:
+            faults.append(f"{name}: has the same host and path prefix as {seen[host_and_prefix]}")
+        seen.setdefault(host_and_prefix, name)
         faults += [
             f"{name}: names {service}, which is not a service"
             for service, _ in route["backends"]
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1482,14 +1482,14 @@
         "control/oakramp/control/publication.py",
         "        return now if leader.holds_lease() else None",
         "        return now",
-        "test_routing_ages.RoutingAges.test_no_age_is_wrong_and_no_older_version_is_used",
+        "test_routing_ages.RoutingAges.test_ages_are_right_and_no_outdated_version_is_used",
     ),
     CodeMutation(
         "ages count back from when the peer was asked",
         "gossip/oakramp/gossip/gossip_client.py",
         "self._state_table.merge(update, seen, asked_at)",
         "self._state_table.merge(update, seen, self._reactor.seconds())",
-        "test_routing_ages.RoutingAges.test_no_age_is_wrong_and_no_older_version_is_used",
+        "test_routing_ages.RoutingAges.test_ages_are_right_and_no_outdated_version_is_used",
     ),
     CodeMutation(
         "a dial that is not answered gets another one beside it",
