--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -168,7 +168,7 @@
     if row and row["admission"] == arguments["admission"]:
         return {"state": "admitted", "reserve": row["reserve"]}
     if row and row["print"] != arguments["print"]:
-        raise ConflictError("this turn id is in use by a different request")
+        raise ConflictError("this turn id is in use for another request")
     if row and transaction.context.members.condition(row["gate"]) != SILENT:
         raise InProgressError("this turn is running", retry_after=1)
     if row:
@@ -176,7 +176,7 @@
         record = transaction.get(_turn_record_key(key, turn))
     if record and record["state"] != "never":
         if record["print"] != arguments["print"]:
-            raise ConflictError("this turn id was used by a different request")
+            raise ConflictError("this turn id was used for another request")
         if record["state"] in ("done", "refused"):
             return {"state": record["state"]}
         if not arguments["repeatable"]:
