--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -59,7 +59,7 @@
         self.publisher = Publisher(node)
         self.leases = LeaseRenewer(node, voter, self)
         self.failover = Failover(node, voter, self)
-        self.replicator = ShardReplicator(node, voter, self, self.failover.on_outranked)
+        self.replicator = ShardReplicator(node, voter, self, self.failover.on_epoch_superseded)
         self._failover_task = Repeater(node.reactor, FAILOVER_POLL, self.failover.poll, node.log)
         self._renewal_task = Repeater(node.reactor, LEASE_RENEW, self.leases.renew, node.log)
         self._cleanup_task = Repeater(node.reactor, OWNER_CLEANUP, self._cleanup, node.log)
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -292,11 +292,11 @@
 
     Invariants: at most one update for each shard and voter is under way, and at most one snapshot to each voter."""
 
-    def __init__(self, leaders, node, on_outranked):
-        """`on_outranked(shard, epoch)` is told of a voter that has promised a later epoch than this leader's."""
+    def __init__(self, leaders, node, on_epoch_superseded):
+        """`on_epoch_superseded(shard, epoch)` is told of a voter that has promised a later epoch than this leader's."""
         self._owners, self._net, self._log = leaders, node.net, node.log
         self._gossip_client, self._reactor, self._seconds = node.gossip_client, node.reactor, node.reactor.seconds
-        self._on_outranked = on_outranked
+        self._on_epoch_superseded = on_epoch_superseded
         self._snapshot_locks = {}
         self.behind = 0  # shards and voters; that lacked something at the last look
 
@@ -335,7 +335,7 @@
                     spawn(self._reach(voter, voting_config_version, owner, progress.newest))
             progress.newest_at_poll = progress.newest
             if progress.is_outranked([voter.node_id for voter in voters], self._seconds()):
-                self._on_outranked(shard, owner)
+                self._on_epoch_superseded(shard, owner)
 
     async def _reach(self, voter, voting_config_version, owner, sequence):
         progress = owner.progress.of(voter.node_id)
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -44,15 +44,19 @@
     """Brings the changes of the shards that this node leads to the voters, and voters that are behind up to date."""
 
     def __init__(
-        self, node: Node, voter: Voter, registry: LeaderRegistry, on_outranked: Callable[[int, ShardLeader], None]
+        self,
+        node: Node,
+        voter: Voter,
+        registry: LeaderRegistry,
+        on_epoch_superseded: Callable[[int, ShardLeader], None],
     ) -> None:
-        """`on_outranked(shard, leader)` is called once a voter has promised a later epoch under which nobody serves."""
+        """`on_epoch_superseded(shard, leader)` is called once a voter has promised a later epoch that no node serves."""
         self._reactor = node.reactor
         self._node = node
         self._voter = voter
         self._registry = registry
         self._batchers: dict[str, AppendBatcher] = {}  # by the voter's node id
-        self._updates = VoterUpdates(registry, node, on_outranked)
+        self._updates = VoterUpdates(registry, node, on_epoch_superseded)
 
     async def replicate(
         self,
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -102,8 +102,8 @@
     CodeMutation(
         "a leader whose disk refuses is asked to release its shards",
         "control/oakramp/control/failover.py",
-        "ANSWERING_CONDITIONS = (LIVE, LEAVING, STORAGE_FAULT)",
-        "ANSWERING_CONDITIONS = (LIVE, LEAVING)",
+        "RELEASING_CONDITIONS = (LIVE, LEAVING, STORAGE_FAULT)",
+        "RELEASING_CONDITIONS = (LIVE, LEAVING)",
         "test_log_recovery.Voters.test_a_leader_whose_disk_refuses_hands_its_shards_over_at_once",
     ),
     CodeMutation(
@@ -1057,7 +1057,7 @@
     CodeMutation(
         "a released slot is left to who asked for it",
         "control/oakramp/control/failover.py",
-        " and not self._is_handed_over(shard)",
+        " and not self._is_declined(shard)",
         "",
         "test_confirmation.Release.test_released_shard_is_left_to_who_asked_for_it_for_a_lease",
     ),
@@ -1354,7 +1354,7 @@
     CodeMutation(
         "a slot is taken over anew above a voter's later promise",
         "control/oakramp/control/replication.py",
-        "self._on_outranked(shard, owner)",
+        "self._on_epoch_superseded(shard, owner)",
         "pass",
         "test_catching_up.QuietSystem.test_a_member_that_has_promised_a_later_epoch",
     ),
