--- a/packages/control/oakramp/control/lease.py
+++ b/packages/control/oakramp/control/lease.py
@@ -105,7 +105,7 @@
             self.confirm(dict(self._registry.active))
         for leader in self._registry.active.values():
             if leader.voting_config_version < self._voter.voting_config.version:
-                leader.write_again()
+                leader.replicate_again()
 
     def begin_round(self) -> LeaseRound | None:
         """A round for all shards that this node leads; None if it leads none."""
--- a/packages/control/oakramp/control/membership_repair.py
+++ b/packages/control/oakramp/control/membership_repair.py
@@ -110,7 +110,7 @@
         await self._voter.set_voting_config(json.loads(rows["record"]))
         for owner in list(self._owners.active.values()):
             if owner.voting_config_version < self._voter.voting_config.version:
-                owner.write_again()
+                owner.replicate_again()
 
     async def _round(self):
         await self._follow()
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -1,4 +1,4 @@
-"""The leader of one shard: it runs commands in the order in which they come, and answers none before a majority has it."""
+"""The leader of one shard: runs commands in order of arrival and answers each once a majority has its changes on disk."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
     from oakramp.control.leader_registry import LeaderRegistry
 
-QueuedCommand = tuple[Callable[[Transaction], Any], "defer.Deferred[Any]"]  # what to do, and who is told of it
+QueuedCommand = tuple[Callable[[Transaction], Any], "defer.Deferred[Any]"]  # the command's function, and its answer
 
-AFTER_ROWS = "$"  # sorts after the '#' of a key's own rows, and before every character of a name
+AFTER_ROWS = "$"  # sorts after the '#' that separates a key from its rows, and before every character of a name
 
 
 class ShardLeader:
@@ -33,9 +33,9 @@
     - `entries` (packed values by key) is on a majority of the voters' disks under (epoch, sequence), and `size` is its
       bytes;
     - `sources` are the gossip sources that this leader publishes;
-    - nothing is answered from it once `lease_until` (monotonic seconds) has passed or `ended` is set;
+    - no command is answered from `entries` once `lease_until` (monotonic seconds) has passed or `ended` is set;
     - no command is answered before what it changed, and all that it read, is on that majority;
-    - while anything is in `_deferred`, a timer is set or a batch is queued that takes it along.
+    - while `_deferred` is not empty, a timer is set or a batch is queued that will include its commands.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.sequence = sequence
         self.size = sum(len(key) + len(value) for key, value in entries.items())
         self.sources = {f"{SHARD_SOURCE}{shard}"}
-        self.cleaned_to = ""  # the key after which the next page of the cleanup begins
+        self.cleanup_cursor = ""  # the next page of the cleanup begins after this key
         self._queue = BoundedQueue(CONTROL_QUEUE_LIMIT, f"shard{shard}")
         self._deferred: list[QueuedCommand] = []
         self.lease_until = 0.0
@@ -57,33 +57,33 @@
         self.confirmed: defer.Deferred[None] = defer.Deferred()  # fires with the first lease
         self.ended = False
         self.idle = True
-        self.marks: dict[str, Any] = {}  # what commands note that is not replicated (CommandContext)
+        self.marks: dict[str, Any] = {}  # state of commands that is not replicated and ends with the leadership
         self.progress = ShardProgress(epoch)
         self._task = None
 
     def serve(self) -> None:
-        """Starts to work through commands."""
+        """Starts to run the queued commands."""
         self.serves_since = self._registry.reactor.seconds()
         self._task = spawn(self._run(), self._registry.log)
 
     def extend_lease(self, until: float) -> None:
-        """The lease holds until this time (monotonic seconds) at least."""
+        """Extends the lease to this time (monotonic seconds), unless it already lasts longer."""
         self.lease_until = max(self.lease_until, until)
         if not self.confirmed.called:
             self.confirmed.callback(None)
 
     def holds_lease(self) -> bool:
-        """Whether answers may be given from this state now."""
+        """Whether commands may be answered from this state now."""
         return not self.ended and self._registry.reactor.seconds() < self.lease_until
 
     def end(self) -> None:
-        """Gives the leadership up: waiting commands fail with NotShardLeaderError."""
+        """Ends the leadership: waiting commands fail with NotShardLeaderError."""
         if self.ended:
             return
         self.ended = True
         self._registry.retract(self)
         for _, answer in [*self._take_deferred(), *filter(None, self._queue.take_ready(CONTROL_QUEUE_LIMIT))]:
-            answer.errback(NotShardLeaderError("this shard is changing hands"))
+            answer.errback(NotShardLeaderError("this shard is moving to another leader"))
         if self._task is not None and self.idle:
             self._task.cancel()
 
@@ -91,25 +91,25 @@
         """Runs a command of the key's controller.
 
         Returns:
-            its result, once what it changed is on a majority.
+            its result, once its changes are on a majority of disks.
 
         Raises:
             NotShardLeaderError: there is no lease; the command has not run.
-            OverloadedError: too many commands wait already; it has not run.
+            OverloadedError: the queue of commands is full; the command has not run.
         """
         work = partial(self._command, key, command, arguments)
-        return self._defer(work) if is_deferrable(key, command) else self._put(work)
+        return self._defer(work) if is_deferrable(key, command) else self._enqueue(work)
 
     def cleanup(self) -> defer.Deferred[list[tuple[str, OakrampError]]]:
-        """Removes what has expired of the next page of keys, all as one command.
+        """Removes the expired entries of the next page of keys, all in one command.
 
         Returns:
-            what failed, as (key, error) pairs.
+            the keys whose cleanup failed, as (key, error) pairs.
         """
-        pairs = cleanups_for(self.next_roots(OWNER_CLEANUP_KEYS))
-        return self._put(partial(self._cleanup_all, pairs)) if pairs else defer.succeed([])
+        pairs = cleanups_for(self.next_keys(OWNER_CLEANUP_KEYS))
+        return self._enqueue(partial(self._cleanup_all, pairs)) if pairs else defer.succeed([])
 
-    def _put(self, work: Callable[[Transaction], Any]) -> defer.Deferred[Any]:
+    def _enqueue(self, work: Callable[[Transaction], Any]) -> defer.Deferred[Any]:
         if not self.holds_lease():
             raise NotShardLeaderError(f"no lease for shard {self.shard}")
         answer: defer.Deferred[Any] = defer.Deferred()
@@ -117,11 +117,11 @@
         return answer
 
     def _defer(self, work: Callable[[Transaction], Any]) -> defer.Deferred[Any]:
-        """Has this done along with the next command: a majority write costs the same for both."""
+        """Runs this in the batch of the next command: one majority write costs as much for both as for one."""
         if not self.holds_lease():
             raise NotShardLeaderError(f"no lease for shard {self.shard}")
         if len(self._deferred) >= CONTROL_BATCH:
-            return self._put(work)
+            return self._enqueue(work)
         if not self._deferred:
             self._registry.reactor.callLater(self._registry.deferral_s, self._run_deferred)
         answer: defer.Deferred[Any] = defer.Deferred()
@@ -129,7 +129,7 @@
         return answer
 
     def _run_deferred(self) -> None:
-        """Queues a batch of what is still deferred, along with a command that does nothing."""
+        """Queues a command that does nothing, whose batch includes the commands that are still deferred."""
         if self._deferred and len(self._queue) < CONTROL_QUEUE_LIMIT:
             ignored: defer.Deferred[Any] = defer.Deferred()
             ignored.addErrback(lambda _failure: None)
@@ -144,15 +144,15 @@
             self.idle = True
             first = await self._queue.take()
             self.idle = False
-            await self._work([*self._take_deferred(), first, *self._queue.take_ready(CONTROL_BATCH - 1)])
+            await self._run_batch([*self._take_deferred(), first, *self._queue.take_ready(CONTROL_BATCH - 1)])
 
-    def write_again(self) -> None:
-        """Has the state replicated to the majorities of the present voting configuration."""
+    def replicate_again(self) -> None:
+        """Queues a replication of the state to the majorities of the present voting configuration."""
         if len(self._queue) < CONTROL_QUEUE_LIMIT:
             self._queue.put(None)
 
-    async def _work(self, batch: list[QueuedCommand | None]) -> None:
-        write_again = None in batch
+    async def _run_batch(self, batch: list[QueuedCommand | None]) -> None:
+        replicate_again = None in batch
         commands = [entry for entry in batch if entry is not None]
         transaction, outcomes = Transaction(self.entries, self._registry.context_for(self)), []
         for work, answer in commands:
@@ -160,29 +160,29 @@
                 outcomes.append((answer, work(transaction)))
             except OakrampError as error:
                 outcomes.append((answer, error))
-        fault = await self._keep(dict(transaction.changes()), write_again)
+        batch_error = await self._replicate_changes(dict(transaction.changes()), replicate_again)
         for answer, outcome in outcomes:
-            if fault is not None or isinstance(outcome, OakrampError):
-                answer.errback(fault or outcome)
+            if batch_error is not None or isinstance(outcome, OakrampError):
+                answer.errback(batch_error or outcome)
                 continue
             answer.callback(outcome)
 
     def _command(self, key: str, command: str, arguments: dict[str, Any], transaction: Transaction) -> Any:
-        """The command's result; one that fails leaves nothing in the transaction."""
-        inner = transaction.nested()
+        """Runs the command and returns its result; a command that fails leaves no changes in the transaction."""
+        nested = transaction.nested()
         try:
             controller = CONTROLLERS.find(key.partition("/")[0])
             if command in controller.growing:
                 self._registry.refuse_full(self)
-            result = controller.run(inner, key, command, arguments)
+            result = controller.run(nested, key, command, arguments)
             if command in controller.replacing:
-                self._registry.refuse_unfit(self, inner.changes())
+                self._registry.refuse_unfit(self, nested.changes())
         except OakrampError:
             raise
-        except Exception as error:  # a fault of this command ends neither the others of its batch nor the leader
+        except Exception as error:  # a crash of this command affects neither the others of its batch nor the leader
             self._registry.log.error("command_crashed", key=key, command=command, error=repr(error))
             raise OakrampError(f"{command} crashed", Verdict.NO) from error
-        transaction.merge(inner)
+        transaction.merge(nested)
         return result
 
     def _cleanup_all(self, pairs: list[tuple[str, str]], transaction: Transaction) -> list[tuple[str, OakrampError]]:
@@ -194,25 +194,29 @@
                 failed.append((key, error))
         return failed
 
-    async def _keep(self, changes: dict[str, bytes | None], write_again: bool) -> OakrampError | None:
-        """None once the changes are on a majority and the lease still holds; else the error for all callers."""
-        if changes or write_again:
+    async def _replicate_changes(self, changes: dict[str, bytes | None], replicate_again: bool) -> OakrampError | None:
+        """Replicates the changes of a batch.
+
+        Returns:
+            None once the changes are on a majority and the lease still holds; otherwise the error for all callers.
+        """
+        if changes or replicate_again:
             if not await self._registry.replicator.replicate(self, self.sequence + 1, changes):
                 self.end()
-                return OutcomeUnknownError("the change did not reach a majority of disks; ask for it by its id")
+                return OutcomeUnknownError("no majority confirmed that the change is on disk; look it up by its id")
             self.sequence += 1
             self._apply(changes)
             self._registry.publisher.publish(self, changes)
         if not self.holds_lease():
             return (
-                OutcomeUnknownError("the lease ended meanwhile; ask for the change by its id")
+                OutcomeUnknownError("the lease expired during the command; look the change up by its id")
                 if changes
-                else NotShardLeaderError("the lease ended meanwhile")
+                else NotShardLeaderError("the lease expired during the command")
             )
         return None
 
     def growth(self, changes: Mapping[str, bytes | None]) -> int:
-        """Bytes by which these changes make the shard larger."""
+        """The number of bytes by which these changes make the shard larger."""
         return sum(
             (0 if value is None else len(key) + len(value))
             - (len(key) + len(self.entries[key]) if key in self.entries else 0)
@@ -230,21 +234,21 @@
     def snapshot_with(self, sequence: int, changes: dict[str, bytes | None]) -> tuple[int, dict[str, bytes]]:
         """(sequence, entries) of the newest snapshot that is at least as new as this change.
 
-        A change that is being replicated is not among the entries yet.
+        A change whose replication is still in progress is not in `self.entries` yet.
         """
         if sequence <= self.sequence:
             return self.sequence, dict(self.entries)
         return sequence, {key: value for key, value in (dict(self.entries) | changes).items() if value is not None}
 
-    def next_roots(self, most: int) -> list[str]:
-        """At most this many of the next keys that commands are for, in order, going round.
+    def next_keys(self, most: int) -> list[str]:
+        """At most this many of the next keys that commands apply to, in order; starts again after the last key.
 
-        The rows of a key ("key#row") are skipped, not read.
+        The rows of a key ("key#row") are skipped without being read.
         """
-        roots: list[str] = []
-        while len(roots) < most and (key := next(self.entries.irange(self.cleaned_to), None)) is not None:
-            roots.append(key.partition("#")[0])
-            self.cleaned_to = roots[-1] + AFTER_ROWS
-        if len(roots) < most:
-            self.cleaned_to = ""
-        return roots
+        keys: list[str] = []
+        while len(keys) < most and (key := next(self.entries.irange(self.cleanup_cursor), None)) is not None:
+            keys.append(key.partition("#")[0])
+            self.cleanup_cursor = keys[-1] + AFTER_ROWS
+        if len(keys) < most:
+            self.cleanup_cursor = ""
+        return keys
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -50,7 +50,7 @@
         registry: LeaderRegistry,
         on_epoch_superseded: Callable[[int, ShardLeader], None],
     ) -> None:
-        """`on_epoch_superseded(shard, leader)` is called once a voter has promised a later epoch that no node serves."""
+        """`on_epoch_superseded(shard, leader)` is called once a voter has promised a later epoch that nobody serves."""
         self._reactor = node.reactor
         self._node = node
         self._voter = voter
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -89,7 +89,7 @@
         entries[f"budget/p/g{number:06d}"] = pack_entry({"limit": 100, "spent": 0, "open": {}, "turns": 1})
         entries[f"budget/p/g{number:06d}#turn/l/t"] = pack_entry({"state": "done", "back": {}})
     owner = ShardLeader.__new__(ShardLeader)
-    owner.entries, owner.cleaned_to, owner.size = entries, "", 0
+    owner.entries, owner.cleanup_cursor, owner.size = entries, "", 0
     context = CommandContext(0.0, _Members(), {}, None, _Board())
     admission = {"turn": "l/t2", "print": "x", "admission": "a", "gate": "g", "number": 1}
 
@@ -102,7 +102,7 @@
             CONTROLLERS.find("budget").run(view, "budget/p/g000050", command, admission | more)
             owner._apply(view.changes())
 
-    return {"turn": calls_of(turn), "sweep": calls_of(lambda: owner.next_roots(32))}
+    return {"turn": calls_of(turn), "sweep": calls_of(lambda: owner.next_keys(32))}
 
 
 def loading_time(lines, programs):
