--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -90,7 +90,7 @@
         # lead: a leader publishes its state at its own node, where the others must be able to pull it.
         self._report_partitioned(is_partitioned)
         # A node whose own voter cannot promise would only raise the epoch above those of candidates that can win.
-        if is_partitioned or self._voter.is_refusing:
+        if is_partitioned or self._voter.has_storage_fault:
             return
         live_ids = self.live_voters()
         for shard in range(SHARDS):
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -25,8 +25,8 @@
         self._repeater.stop()
 
     async def _poll(self):
-        shards = self._quiet_shards()
-        if not shards or self._voter.is_refusing or not self._hears_majority():
+        shards = self._unconfirmed_shards()
+        if not shards or self._voter.has_storage_fault or not self._hears_majority():
             return
         quiet = await self._ask_majority(shards)
         expired = {shard for shard in shards if quiet[shard] >= LEASE_EXPIRED}
@@ -43,12 +43,12 @@
                 self._registry.failover.begin_failover(shard, expired=True)
             self._ask_at[shard] = now + max(EXPIRY_POLL, LEASE_EXPIRED - quiet[shard])
 
-    def _quiet_shards(self):
+    def _unconfirmed_shards(self):
         """Shards of others that this node's own voter has not confirmed for long."""
         now, own_id = self._node.reactor.seconds(), self._node.node_id
         return [
             shard
-            for shard in self._voter.quiet_shards(LEASE_EXPIRED, own_id)
+            for shard in self._voter.unconfirmed_shards(LEASE_EXPIRED, own_id)
             if self._registry.failover.is_free(shard) and now >= self._ask_at.get(shard, 0.0)
         ]
 
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -1,6 +1,7 @@
-"""The disk's side of owned keys: one voter on each control node of the voting configuration.
+"""The voter of a control node: stores promises, leases and a copy of each shard durably on its disk.
 
-The table of each shard has one leader task; the ring groups the commits of different shards into one sync.
+There is one voter on each control node of the voting configuration. The commands on a shard's table run one after
+another in an executor of its own; the circular log groups the commits of different shards into one sync.
 """
 
 import json
@@ -21,14 +22,16 @@
 
 @dataclass
 class ShardTable:
-    """Invariants, true on disk before any answer that relies on them:
-    - `promisedEpoch` never falls; for one epoch there is one `promisedOwner`;
-    - `entries` is the state after `sequence` of the snapshot of `imageEpoch`, with no change left out, and two voters
-      with the same (imageEpoch, sequence) have the same entries;
-    - (imageEpoch, sequence) never falls, and imageEpoch <= promisedEpoch;
-    - on the disk, `entries` are those of `generation`; others are leftovers of a snapshot that was not finished, or
-      that was replaced;
-    - no row on the disk, and no removal of leftovers under way, is of a generation above `newest_generation`."""
+    """The state of one shard at this voter.
+
+    Invariants, true on disk before any answer that relies on them:
+    - `promised_epoch` never decreases; for one epoch there is one `promised_owner`;
+    - `entries` is the state after `sequence` of the snapshot of `snapshot_epoch`, with no change left out, and two
+      voters with the same (snapshot_epoch, sequence) have the same entries;
+    - (snapshot_epoch, sequence) never decreases, and snapshot_epoch <= promised_epoch;
+    - on the disk, `entries` are the rows of `generation`; rows of other generations are leftovers of a snapshot that
+      was not completed, or that was replaced;
+    - no row on the disk, and no removal of leftovers in progress, is of a generation above `newest_generation`."""
 
     promised_epoch: int = 0
     promised_owner: str = ""
@@ -39,24 +42,24 @@
     newest_generation: int = 0
     size: int = 0  # bytes of `entries`
 
-    def measure(self):
+    def update_size(self):
         self.size = sum(len(key) + len(value) for key, value in self.entries.items())
 
-    def head(self, **changes):
-        """The row of promise and head as it is stored, with these values changed: a JSON list in the order of HEAD."""
+    def header(self, **changes):
+        """The header row as it is stored, with these values changed: a JSON list in the order of HEADER_FIELDS."""
         values = vars(self) | changes
-        return pack_json([values[name] for name in HEAD])
+        return pack_json([values[name] for name in HEADER_FIELDS])
 
 
 VOTING_CONFIG_IS_NEW = (
-    "rosterIsNew"  # a row of the ring, there until every lease of a previous voting configuration has ended
+    "rosterIsNew"  # key of a row that is present until every lease of a previous voting configuration has ended
 )
-HEAD = ("promised_epoch", "promised_owner", "snapshot_epoch", "sequence", "generation")
+HEADER_FIELDS = ("promised_epoch", "promised_owner", "snapshot_epoch", "sequence", "generation")
 
 
 @dataclass
 class StagedSnapshot:
-    """Parts of one snapshot that have come in, in order."""
+    """The parts of one snapshot that were received so far, in order."""
 
     label: tuple
     parts: int = 0
@@ -68,31 +71,31 @@
 
 
 class Voter:
-    """The voter of one node: promises, leases and a copy of each shard, all on its disk before it answers."""
+    """Serves the requests of candidates and leaders; what it promises or accepts is on disk before it answers."""
 
     def __init__(self, node, ring):
         self._node_id, self._ring, self._seconds = node.node_id, ring, node.reactor.seconds
         self._log = node.log
-        # VotingConfiguration, or None until a cluster is formed; only what runs before that has to look.
+        # VotingConfiguration, or None until a cluster is formed; only code that may run before that checks for None.
         self.voting_config: Any = (
             VotingConfiguration(json.loads(ring.table["roster"])) if "roster" in ring.table else None
         )
         self._tables = {shard: ShardTable() for shard in range(SHARDS)}
-        self._owners = {
+        self._executors = {
             shard: SerialExecutor(CONTROL_QUEUE_LIMIT, f"voter{shard}", node.log) for shard in range(SHARDS)
         }
         self.on_voting_config = set()  # called, in any order, once a newer voting configuration is stored
         self._staged = {}
-        self._leftovers = []  # keys of rows that count for nothing, and that the log did not take the removal of
+        self._leftovers = []  # keys of obsolete rows whose removal the log did not accept
         self._confirmed_at = {}
         self._promised_at = {}
-        self._holders = {}
+        self._last_holders = {}
         self._reactor = node.reactor
-        self.may_hold_lease = lambda shard, requester: True  # until the leaders of this node say for themselves
-        self._count_from_now()
+        self.may_hold_lease = lambda shard, requester: True  # conservative until this node's Failover replaces it
+        self._reset_confirmation_times()
         ring.on_fault_change.add(self._remove_leftovers)
         self._load()
-        self._forget_previous_voting_config()
+        self._schedule_voting_config_aging()
         for method, command in (
             ("prepare", self._prepare),
             ("imagePart", self._snapshot_part),
@@ -109,8 +112,8 @@
         for key, value in self._ring.table.items():
             kind, _, shard = key.partition("/")
             if kind == "s":
-                for name, one in zip(HEAD, json.loads(value)):
-                    setattr(self._tables[int(shard)], name, one)
+                for name, stored in zip(HEADER_FIELDS, json.loads(value)):
+                    setattr(self._tables[int(shard)], name, stored)
         leftovers = []
         for key, value in self._ring.table.items():
             kind, _, rest = key.partition("/")
@@ -124,13 +127,13 @@
             else:
                 leftovers.append(key)
         for table in self._tables.values():
-            table.measure()
+            table.update_size()
         if leftovers:
             self._log.info("snapshot_leftovers_removed", entries=len(leftovers))
             spawn(self._remove(leftovers), self._log)
 
     async def _remove(self, keys):
-        """Removes rows that count for nothing any more; what the log does not take is removed once it has recovered."""
+        """Removes obsolete rows; a removal that the log does not accept is repeated once the log has recovered."""
         parts = list(in_parts(((key, None) for key in keys), self._ring.commit_limit() // 2))
         while parts:
             try:
@@ -148,7 +151,7 @@
         spawn(self._remove(leftovers), self._log)
 
     def snapshot(self, shard):
-        """(imageEpoch, sequence, entries) as they are on this disk."""
+        """(snapshot_epoch, sequence, entries) as they are on this disk."""
         table = self._tables[shard]
         return table.snapshot_epoch, table.sequence, table.entries
 
@@ -156,42 +159,42 @@
         return self._tables[shard].promised_epoch
 
     def last_holder(self, shard):
-        """(epoch, leader) of the lease of the shard that this voter confirmed last; (0, None) if it has confirmed none."""
-        return self._holders.get(shard, (0, None))
+        """(epoch, leader) of the shard's lease that this voter confirmed last; (0, None) if it has confirmed none."""
+        return self._last_holders.get(shard, (0, None))
 
-    def quiet_shards(self, least, requester):
-        """The shards for which this voter has been quiet for at least so many seconds."""
-        return [shard for shard in self._tables if self.quiet_for(shard, requester) >= least]
+    def unconfirmed_shards(self, least, requester):
+        """The shards for which `seconds_unconfirmed` is at least `least`."""
+        return [shard for shard in self._tables if self.seconds_unconfirmed(shard, requester) >= least]
 
-    def quiet_for(self, shard, requester):
-        """Seconds for which this voter has confirmed no lease of the shard, and has promised it to nobody but the
-        asker: who is just taking it over is not to be disturbed."""
+    def seconds_unconfirmed(self, shard, requester):
+        """Seconds for which this voter has neither confirmed a lease of the shard nor promised an epoch of it to a node
+        other than the requester: a failover by another node that is in progress must not be disturbed."""
         since = self._confirmed_at[shard]
         if self._tables[shard].promised_owner != requester:
             since = max(since, self._promised_at.get(shard, since))
         return self._seconds() - since
 
     def is_full(self):
-        """Whether the log holds so much that a command that grows the state is rejected."""
+        """Whether the log is so full that a command that grows the state is rejected."""
         largest = max(table.size for table in self._tables.values())
-        room = self._ring.capacity() - largest  # beside it must go in once more
+        room = self._ring.capacity() - largest  # a second copy of the largest shard must fit beside the live rows
         return self._ring.live_bytes() > min(CONTROL_FULL * self._ring.capacity(), room)
 
     def has_room(self, growth, size, entries):
-        """Whether a shard that grows to this size still fits a second time beside all that is here."""
+        """Whether a second copy of a shard that grows to this size would still fit beside all live rows."""
         return self._ring.live_bytes() + growth + size + entries * ENTRY_COST <= self._ring.capacity()
 
     def shard_limit(self):
-        """Bytes that one shard may take."""
+        """The largest size of one shard in bytes."""
         return SHARD_FULL * self._ring.capacity()
 
     def stop(self):
-        """Ends the commands under way."""
-        for owner in self._owners.values():
-            owner.stop()
+        """Stops the commands in progress."""
+        for executor in self._executors.values():
+            executor.stop()
 
     async def set_voting_config(self, record):
-        """A newer voting configuration, on the disk before anything is answered under it."""
+        """Adopts a newer voting configuration: it is on the disk before any request is answered under it."""
         if self.voting_config is None or record["version"] > self.voting_config.version:
             await self._ring.commit([("roster", pack_json(record)), (VOTING_CONFIG_IS_NEW, b"1")])
             previous, self.voting_config = self.voting_config, VotingConfiguration(record)
@@ -200,8 +203,8 @@
                 or self.voting_config.version != previous.version + 1
                 or self.voting_config.next is None
             ):
-                self._count_from_now()
-            self._forget_previous_voting_config()
+                self._reset_confirmation_times()
+            self._schedule_voting_config_aging()
             self._log.info(
                 "voting_configuration_stored",
                 version=self.voting_config.version,
@@ -210,26 +213,25 @@
             for callback in list(self.on_voting_config):
                 callback()
 
-    def _forget_previous_voting_config(self):
-        """While the voting configuration is new, who was left out of it may still hold a lease; that outlasts a restart
-        of this process."""
+    def _schedule_voting_config_aging(self):
+        """Schedules the end of the time for which the voting configuration counts as new: until then a node that is no
+        member any more may still hold a lease. The stored row keeps this state across a restart of the process."""
         if VOTING_CONFIG_IS_NEW in self._ring.table:
             self._reactor.callLater(2 * LEASE, self._on_voting_config_aged, self.voting_config.version)
 
     def _on_voting_config_aged(self, version):
         if version != self.voting_config.version:
             return
-        if self.is_refusing:
-            self._forget_previous_voting_config()  # tried again
+        if self.has_storage_fault:
+            self._schedule_voting_config_aging()  # retries later
             return
         spawn(self._ring.commit([(VOTING_CONFIG_IS_NEW, None)]), self._log)
 
-    def _count_from_now(self):
-        """Confirmations count as given this instant. At a start, since what this voter confirmed before is forgotten;
-        and with a new voting configuration, since others may have confirmed without this voter under the previous ones.
-        Only a step to a joint voting configuration needs nothing: its majorities meet those of the version before in
-        that one's
-        members."""
+    def _reset_confirmation_times(self):
+        """Counts each shard's lease as confirmed now. This is needed at a start, since the confirmations that this voter
+        gave before are not stored, and with a new voting configuration, since the other voters may have confirmed
+        leases without this voter under the previous ones. Only the change to a joint voting configuration does not need
+        it: its majorities overlap with those of the previous version among that version's members."""
         self._confirmed_at = dict.fromkeys(range(SHARDS), self._seconds())
 
     async def _voting_config_version(self, _peer, _arguments):
@@ -238,37 +240,37 @@
     def _queued(self, command):
         async def handler(peer, arguments):
             if not 0 <= arguments.shard < SHARDS:
-                raise StaleEpochError(f"no slot {arguments.shard}")
-            return await self._owners[arguments.shard].do(command, self._tables[arguments.shard], peer, arguments)
+                raise StaleEpochError(f"there is no shard {arguments.shard}")
+            return await self._executors[arguments.shard].do(command, self._tables[arguments.shard], peer, arguments)
 
         return handler
 
     @property
-    def is_refusing(self):
-        """Whether this voter answers nothing for the moment, since its disk does not take what it would promise."""
+    def has_storage_fault(self):
+        """Whether this voter currently refuses all requests, since its disk does not accept writes."""
         return self._ring.broken is not None
 
     def _check_voting_config(self, peer, version):
-        if self.is_refusing:
+        if self.has_storage_fault:
             raise StaleEpochError("this node's disk has failed")
         if self.voting_config is None or self._node_id not in self.voting_config.everyone:
             raise StaleEpochError(
-                "this node has no vote", detail={"roster": self.voting_config.version if self.voting_config else 0}
+                "this node is not a voter", detail={"roster": self.voting_config.version if self.voting_config else 0}
             )
         if version != self.voting_config.version:
             raise StaleEpochError(
-                f"roster version {version} is not {self.voting_config.version}",
+                f"voting configuration version {version} is not {self.voting_config.version}",
                 detail={"roster": self.voting_config.version},
             )
         if peer.node_id not in self.voting_config.everyone:
-            raise StaleEpochError(f"{peer.node_id} is not in the roster")
+            raise StaleEpochError(f"{peer.node_id} is not in the voting configuration")
 
     async def _prepare(self, table, peer, arguments):
         self._check_voting_config(peer, arguments.voting_config_version)
         earlier = table.promised_epoch, table.promised_owner
         if (
             arguments.epoch <= table.promised_epoch
-        ):  # its own leader's too: a restart has forgotten what it wrote under it
+        ):  # refused for the same owner too: after a restart it no longer knows what it wrote under this epoch
             return idl.PrepareResponse(
                 granted=False,
                 promised_epoch=earlier[0],
@@ -290,14 +292,16 @@
         )
 
     def _holds_no_lease(self, shard, requester):
-        """Whether this process holds no lease of the shard, nor comes to one but after the requester's epoch."""
+        """Whether this process holds no lease of the shard and can obtain one only under a later epoch than the
+        requester's."""
         return VOTING_CONFIG_IS_NEW not in self._ring.table and not self.may_hold_lease(shard, requester.node_id)
 
     async def _snapshot_part(self, table, peer, arguments):
-        """The snapshot does not move while it is read: only a higher promise could change it, and that ends this."""
+        """Serves one part of the snapshot. The snapshot does not change while it is read: only a higher promise allows
+        a change, and such a promise makes this fail."""
         self._check_voting_config(peer, arguments.voting_config_version)
         if (arguments.epoch, arguments.owner) != (table.promised_epoch, table.promised_owner):
-            raise StaleEpochError(f"epoch {table.promised_epoch} is promised")
+            raise StaleEpochError(f"epoch {table.promised_epoch} is already promised")
         rest = table.entries.irange(arguments.after, inclusive=(False, False))
         part = next(in_parts(((key, table.entries[key]) for key in rest), SNAPSHOT_PART))
         return idl.SnapshotChunk(
@@ -306,13 +310,14 @@
         )
 
     @staticmethod
-    def _is_past(table, epoch, owner):
+    def _is_superseded(table, epoch, owner):
         return (epoch, owner) != (table.promised_epoch, table.promised_owner) and epoch <= table.promised_epoch
 
     async def _stage(self, table, peer, arguments):
-        """Part of a snapshot that is too long for one message; in memory until `accept` brings the last one."""
+        """Receives a part of a snapshot that is too long for one message; kept in memory until `accept` delivers the
+        last part."""
         self._check_voting_config(peer, arguments.voting_config_version)
-        if self._is_past(table, arguments.epoch, arguments.owner):
+        if self._is_superseded(table, arguments.epoch, arguments.owner):
             return idl.AppendResponse(taken=False, promised_epoch=table.promised_epoch)
         label = arguments.epoch, arguments.owner, arguments.sequence
         if arguments.part == 0:
@@ -325,41 +330,44 @@
         return idl.AppendResponse(taken=True)
 
     @staticmethod
-    def _covers(table, step):
-        """A merged step of the epoch that the snapshot is of brings all that changed since `fromSequence`, with the
-        newest values; where between the snapshot stands makes no difference."""
-        return step.from_epoch == step.epoch == table.snapshot_epoch and step.from_sequence <= table.sequence
-
-    def _judge(self, table, step, owner, is_whole=False):
-        """(answer, head) for a step of this leader: the head is what has to be on the disk, with the step's entries,
-        before the answer is given; None if nothing has to."""
-        if self._is_past(table, step.epoch, owner):
+    def _covers(table, request):
+        """Whether a merged append request can be applied: it belongs to the epoch of this snapshot and carries all
+        changes since `from_sequence` with their newest values, so it applies to any later state of that epoch too."""
+        return request.from_epoch == request.epoch == table.snapshot_epoch and request.from_sequence <= table.sequence
+
+    def _check_append(self, table, request, owner, is_whole=False):
+        """(answer, header) for an append request of this leader. The header, with the entries of the request, has to be
+        on the disk before the answer is given; it is None if nothing has to be written."""
+        if self._is_superseded(table, request.epoch, owner):
             return idl.AppendResponse(taken=False, promised_epoch=table.promised_epoch), None
-        if step.epoch == table.snapshot_epoch and step.sequence <= table.sequence:
-            return idl.AppendResponse(taken=True), None  # a copy of what is here already
+        if request.epoch == table.snapshot_epoch and request.sequence <= table.sequence:
+            return idl.AppendResponse(taken=True), None  # a duplicate of changes that are already on this disk
         follows = (
             is_whole
-            or (step.epoch, step.sequence) == (table.snapshot_epoch, table.sequence + 1)
-            or (step.from_epoch and (step.from_epoch, step.from_sequence) == (table.snapshot_epoch, table.sequence))
-            or self._covers(table, step)
+            or (request.epoch, request.sequence) == (table.snapshot_epoch, table.sequence + 1)
+            or (
+                request.from_epoch
+                and (request.from_epoch, request.from_sequence) == (table.snapshot_epoch, table.sequence)
+            )
+            or self._covers(table, request)
         )
         if not follows:
             return idl.AppendResponse(taken=False, needs_snapshot=True, promised_epoch=table.promised_epoch), None
         return idl.AppendResponse(taken=True), {
-            "promised_epoch": step.epoch,
+            "promised_epoch": request.epoch,
             "promised_owner": owner,
-            "snapshot_epoch": step.epoch,
-            "sequence": step.sequence,
+            "snapshot_epoch": request.epoch,
+            "sequence": request.sequence,
         }
 
     async def _accept(self, table, peer, arguments):
         self._check_voting_config(peer, arguments.voting_config_version)
-        answer, head = self._judge(table, arguments, arguments.owner, arguments.whole)
-        if head is None:
+        answer, header = self._check_append(table, arguments, arguments.owner, arguments.whole)
+        if header is None:
             return answer
-        given = {entry.key: entry.value for entry in arguments.entries or []}
+        received = {entry.key: entry.value for entry in arguments.entries or []}
         if not arguments.whole:
-            await self._write_step(arguments.shard, table, given, head)
+            await self._write_append(arguments.shard, table, received, header)
             return answer
         staged = self._staged.pop(arguments.shard, None)
         if arguments.parts:
@@ -368,89 +376,96 @@
                 arguments.parts,
             ):
                 return idl.AppendResponse(taken=False, needs_snapshot=True, promised_epoch=table.promised_epoch)
-            given = staged.entries | given
-        await self._replace(arguments.shard, table, given, head)
+            received = staged.entries | received
+        await self._install_snapshot(arguments.shard, table, received, header)
         return answer
 
     async def _accept_many(self, peer, arguments):
-        """Steps of different shards in one commit; each is judged by itself. A shard with another command under way, or
-        a commit that is too much for the ring at once, is left to `accept`."""
+        """Applies append requests for different shards in one commit; each is checked by itself. The leader is told to
+        repeat it with `accept` for a shard with another command in progress, and for all if one commit of the circular
+        log can not hold them."""
         self._check_voting_config(peer, arguments.voting_config_version)
-        answers, held, writing = [], [], []
+        answers, held_executors, writes = [], [], []
         try:
-            for step in [unpack(idl.AppendEntries, data) for data in arguments.steps or []]:
-                if not 0 <= step.shard < SHARDS:
-                    raise StaleEpochError(f"no slot {step.shard}")
-                if not self._owners[step.shard].hold():
+            for request in [unpack(idl.AppendEntries, data) for data in arguments.steps or []]:
+                if not 0 <= request.shard < SHARDS:
+                    raise StaleEpochError(f"there is no shard {request.shard}")
+                if not self._executors[request.shard].hold():
                     answers.append(idl.AppendResponse(taken=False, again=True))
                     continue
-                held.append(self._owners[step.shard])
-                table = self._tables[step.shard]
-                answer, head = self._judge(table, step, arguments.owner)
+                held_executors.append(self._executors[request.shard])
+                table = self._tables[request.shard]
+                answer, header = self._check_append(table, request, arguments.owner)
                 answers.append(answer)
-                if head is not None:
-                    writing.append((step.shard, table, {entry.key: entry.value for entry in step.entries or []}, head))
-            if writing:
+                if header is not None:
+                    writes.append(
+                        (request.shard, table, {entry.key: entry.value for entry in request.entries or []}, header)
+                    )
+            if writes:
                 try:
-                    await self._ring.commit([row for one in writing for row in self._rows_of(*one)])
+                    await self._ring.commit([row for write in writes for row in self._rows_of(*write)])
                 except StorageFullError:
                     return [idl.AppendResponse(taken=False, again=True) for _ in answers]
-                for _, *change in writing:
-                    self._enter(*change)
+                for _, *change in writes:
+                    self._apply(*change)
         finally:
-            for owner in held:
-                owner.let_go()
+            for executor in held_executors:
+                executor.let_go()
         return answers
 
-    async def _write_step(self, shard, table, changed, head):
-        """A step that is too much for one commit goes in as a snapshot does."""
+    async def _write_append(self, shard, table, changed, header):
+        """Writes the changes of an append request; changes that are too large for one commit are written as a whole
+        snapshot."""
         try:
-            await self._write(shard, table, changed, **head)
+            await self._write(shard, table, changed, **header)
         except StorageFullError:
             snapshot = {key: value for key, value in (dict(table.entries) | changed).items() if value is not None}
-            await self._replace(shard, table, snapshot, head)
+            await self._install_snapshot(shard, table, snapshot, header)
 
-    async def _replace(self, shard, table, snapshot, head):
-        """Brings the table to this whole snapshot: by what differs, if one commit holds that; else as a new
-        generation beside the old one, which a last small commit puts in its place. A try that failed, in this life or
-        in an earlier one, leaves rows of its generation, and their removal may be under way: each try has its own."""
+    async def _install_snapshot(self, shard, table, snapshot, header):
+        """Replaces the table's entries by this snapshot.
+
+        If one commit can hold the differences, only these are written. Otherwise the snapshot is written as a new
+        generation beside the old one, and a last small commit switches to it. An attempt that failed, in this process
+        or an earlier one, leaves rows of its generation behind, and their removal may still be in progress; therefore
+        each attempt uses a generation of its own."""
         changed = dict.fromkeys(table.entries.keys() - snapshot.keys()) | {
             key: value for key, value in snapshot.items() if table.entries.get(key) != value
         }
         limit = self._ring.commit_limit() // 2
         if next(in_parts(changed.items(), limit)) == list(changed.items()):
-            await self._write(shard, table, changed, **head)
+            await self._write(shard, table, changed, **header)
             return
-        previous = [entry_key(shard, table.generation, key) for key in table.entries]
+        replaced_rows = [entry_key(shard, table.generation, key) for key in table.entries]
         table.newest_generation = generation = max(table.newest_generation, table.generation) + 1
         rows = {entry_key(shard, generation, key): value for key, value in snapshot.items()}
         try:
             for part in in_parts(rows.items(), limit):
                 await self._ring.commit(part)
-            await self._write(shard, table, {}, **head, generation=generation)
+            await self._write(shard, table, {}, **header, generation=generation)
         except StorageError:
             spawn(self._remove([row for row in rows if row in self._ring.table]), self._log)
             raise
         table.entries = SortedDict(snapshot)
-        table.measure()
+        table.update_size()
         self._log.info("snapshot_installed", shard=shard, entries=len(snapshot), generation=generation)
-        await self._remove(previous)
+        await self._remove(replaced_rows)
 
-    async def _write(self, shard, table, changed, **head):
-        """First the disk, then the table: a commit that fails leaves no trace that could be vouched for."""
-        await self._ring.commit(self._rows_of(shard, table, changed, head))
-        self._enter(table, changed, head)
+    async def _write(self, shard, table, changed, **header):
+        """Commits to the disk first, then changes the table, so that no answer can rely on a commit that failed."""
+        await self._ring.commit(self._rows_of(shard, table, changed, header))
+        self._apply(table, changed, header)
 
     @staticmethod
-    def _rows_of(shard, table, changed, head):
+    def _rows_of(shard, table, changed, header):
         return [
-            (f"s/{shard}", table.head(**head)),
+            (f"s/{shard}", table.header(**header)),
             *((entry_key(shard, table.generation, key), value) for key, value in changed.items()),
         ]
 
     @staticmethod
-    def _enter(table, changed, head):
-        vars(table).update(head)
+    def _apply(table, changed, header):
+        vars(table).update(header)
         for key, value in changed.items():
             previous = table.entries.pop(key, None)
             table.size -= 0 if previous is None else len(key) + len(previous)
@@ -459,7 +474,8 @@
                 table.size += len(key) + len(value)
 
     async def _confirm(self, peer, arguments):
-        """Which of these leases nobody has been promised past. The promise itself is on the disk already."""
+        """Confirms those of these leases whose epoch is the last one promised. The promise is already on the disk, so
+        nothing has to be written."""
         confirmed = self._confirmed(
             peer,
             arguments.owner,
@@ -469,14 +485,18 @@
         return [idl.ShardEpoch(shard=shard, epoch=epoch) for shard, epoch in confirmed]
 
     async def _unconfirmed(self, peer, arguments):
-        """For how many ms this voter has been quiet about each of these shards; nothing changes by being asked."""
+        """Answers `seconds_unconfirmed` of each of these shards in milliseconds; changes no state."""
         self._check_voting_config(peer, arguments.voting_config_version)
         if not all(0 <= shard < SHARDS for shard in arguments.shards or []):
-            raise StaleEpochError("no such slot")
-        return [int(self.quiet_for(shard, peer.node_id) * 1000) for shard in arguments.shards or []]
+            raise StaleEpochError("there is no such shard")
+        return [int(self.seconds_unconfirmed(shard, peer.node_id) * 1000) for shard in arguments.shards or []]
 
     def confirm_leases(self, peer, leases):
-        """The same of leases that came with a pull; None leaves it to `confirm` to say why not."""
+        """Confirms leases whose renewal was sent along with a gossip request.
+
+        Returns:
+            the confirmed shards; None if the request is refused, in which case a later `confirm` call gets the reason.
+        """
         try:
             if leases.voter != self._node_id:
                 return None
@@ -496,5 +516,5 @@
             and (self._tables[shard].promised_epoch, self._tables[shard].promised_owner) == (epoch, owner)
         ]
         self._confirmed_at.update(dict.fromkeys((shard for shard, _ in confirmed), self._seconds()))
-        self._holders.update({shard: (epoch, owner) for shard, epoch in confirmed})
+        self._last_holders.update({shard: (epoch, owner) for shard, epoch in confirmed})
         return confirmed
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -144,7 +144,7 @@
     CodeMutation(
         "who cannot promise to itself does not stand",
         "control/oakramp/control/failover.py",
-        "if is_partitioned or self._voter.is_refusing:",
+        "if is_partitioned or self._voter.has_storage_fault:",
         "if is_partitioned:",
         "test_log_recovery.Voters.test_who_cannot_promise_to_itself_does_not_stand",
     ),
@@ -959,8 +959,8 @@
     CodeMutation(
         "who was frozen itself suspects nobody",
         "control/oakramp/control/lease_expiry.py",
-        "if not shards or self._voter.is_refusing or not self._hears_majority():",
-        "if not shards or self._voter.is_refusing:",
+        "if not shards or self._voter.has_storage_fault or not self._hears_majority():",
+        "if not shards or self._voter.has_storage_fault:",
         "test_failover.LapseTest.test_who_was_frozen_itself_suspects_nobody",
     ),
     CodeMutation(
@@ -1361,7 +1361,7 @@
     CodeMutation(
         "a step too long for one commit",
         "control/oakramp/control/voter.py",
-        "            await self._replace(shard, table, snapshot, head)\n",
+        "            await self._install_snapshot(shard, table, snapshot, header)\n",
         "            raise\n",
         "test_catching_up.TornImages.test_a_step_that_is_too_much_for_one_commit",
     ),
@@ -1396,7 +1396,7 @@
     CodeMutation(
         "a merged step is taken wherever it covers",
         "control/oakramp/control/voter.py",
-        "            or self._covers(table, step)\n",
+        "            or self._covers(table, request)\n",
         "",
         "test_catching_up.Costs.test_flat_beyond_one_snapshot",
     ),
