--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -1,12 +1,13 @@
-"""The way of a leader's steps to the voters.
+"""Delivery of a leader's append requests to the voters, and updates of voters that are behind.
 
-A leader of several shards writes to each of them by itself, but to the same five disks. What is on its way to one
-voter at the same time goes in one call, is committed there at once and is answered for each shard by itself.
+A node that leads several shards replicates each of them on its own, but to the same five disks. Append requests that
+are sent to one voter at the same time are batched into one call, committed there together, and answered for each shard
+on its own.
 
-A voter that is behind is updated beside the steps (`VoterUpdates`), by one transfer at a time for each shard: what
-changed since the state that it is known to have, as one merged step, or else the whole snapshot. What changes during
-the transfer of a snapshot is gathered and follows it as a merged step, so a slow transfer is never begun anew for a
-change.
+A voter that is behind is updated independently of the append requests (`VoterUpdates`), by one transfer at a time for
+each shard: either one merged append request with all changes since the state that the voter is known to have, or the
+whole snapshot. Changes that are made during the transfer of a snapshot are collected and follow it as a merged append
+request, so a slow transfer is never restarted because of a change.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class VoterAddress(NamedTuple):
-    """A voter and where it listens."""
+    """A voter's node id and network address."""
 
     node_id: str
     address: str
@@ -56,8 +57,10 @@
 
 
 class AppendBatcher:
-    """Steps on their way to one voter. Invariant: while any waits, a timer is set, or a call is under way whose end
-    sends it; none waits longer than STEP_PAUSE."""
+    """Batches append requests to one voter into calls.
+
+    Invariant: while requests are waiting, either a timer is set or a call is in progress whose end sends them; none
+    waits longer than STEP_PAUSE."""
 
     def __init__(self, net, reactor, voter_id):
         self._net, self._reactor, self._voter_id = net, reactor, voter_id
@@ -65,9 +68,10 @@
         self._calls = 0
         self._timer = None
 
-    def put(self, target, step, ended):
-        """`target` is (address, voting configuration version); `ended(taken, error)` is called once."""
-        self._waiting.append((target, step, ended))
+    def put(self, target, request, on_response):
+        """Queues an append request; `target` is (address, voting configuration version), and
+        `on_response(response, error)` is called once."""
+        self._waiting.append((target, request, on_response))
         if self._timer is None:
             self._timer = self._reactor.callLater(STEP_PAUSE if self._calls else 0, self._send)
 
@@ -90,21 +94,21 @@
             to=self._voter_id,
             owner=self._net.node_id,
             voting_config_version=voting_config_version,
-            steps=[step for _, step, _ in batch],
+            steps=[request for _, request, _ in batch],
         )
         call.addCallbacks(self._answered, self._failed, callbackArgs=(batch,), errbackArgs=(batch,))
 
     def _answered(self, answers, batch):
-        self._freed()
-        for (_, _, ended), taken in zip(batch, answers):
-            ended(taken, None)
+        self._on_call_ended()
+        for (_, _, on_response), response in zip(batch, answers):
+            on_response(response, None)
 
     def _failed(self, failure, batch):
-        self._freed()
-        for _, _, ended in batch:
-            ended(None, failure.value)
+        self._on_call_ended()
+        for _, _, on_response in batch:
+            on_response(None, failure.value)
 
-    def _freed(self):
+    def _on_call_ended(self):
         self._calls -= 1
         if self._calls == 0 and self._timer is not None:
             self._timer.cancel()
@@ -112,8 +116,8 @@
 
 
 class Proposal:
-    """One step, offered to the voters of one voting configuration. `outcome` fires with (whether a majority has it,
-    errors by voter) once that is certain."""
+    """One change, proposed to the voters of one voting configuration. `outcome` fires with (whether a majority has
+    accepted it, errors by voter) once that is certain."""
 
     def __init__(self, voting_config, ends_at):
         self._voting_config, self.ends_at = voting_config, ends_at
@@ -121,8 +125,8 @@
         self.outcome = defer.Deferred()
 
     def settle(self, node_id, error=None):
-        """Counts the answer of a voter: it has the change on disk, or `error` says why not. The outcome fires once no
-        further answer can alter it."""
+        """Counts the answer of a voter: it has the change on disk, or `error` is the reason why not. The outcome fires
+        once no further answer can change it."""
         self._pending.discard(node_id)
         if error is not None:
             self._errors[node_id] = error
@@ -135,27 +139,27 @@
         elif error is not None and not self._voting_config.is_quorum(self._taken_by | self._pending):
             self.outcome.callback((False, dict(self._errors)))
 
-    def without(self):
+    def unconfirmed_by(self):
         """Node ids of the voters that have not confirmed the change, in order."""
         return sorted(self._voting_config.everyone.keys() - self._taken_by)
 
-    def give_up(self, node_id, error):
-        """Nothing can come of it any more, whatever the others will say."""
+    def fail(self, node_id, error):
+        """Fails the proposal at once, regardless of the answers that are still pending."""
         if not self.outcome.called:
             self.outcome.callback((False, self._errors | {node_id: error}))
 
 
 def _cost(key, value):
-    """Bytes of an entry in a message, at most."""
+    """Upper bound of an entry's size in a message, in bytes."""
     return len(key) + len(value or b"") + ENTRY_COST
 
 
-NO_SNAPSHOT = 0, 0  # (epoch, sequence); no step follows on it
+NO_SNAPSHOT = 0, 0  # (epoch, sequence); no append request can follow it
 
 
 @dataclass
 class HigherPromise:
-    """A voter's promise of an epoch above the leader's own, and since when it is known."""
+    """A voter's promise of an epoch above the leader's own, and the time (monotonic seconds) since which it is known."""
 
     epoch: int
     since: float
@@ -163,27 +167,28 @@
 
 @dataclass
 class VoterProgress:
-    """What the leader of a shard knows of one voter. Invariants:
+    """What the leader of a shard knows about the replication to one voter.
+
+    Invariants:
     - `base` is the newest (epoch, sequence) that the voter has confirmed, or the snapshot that the failover began with,
-      or
-      NO_IMAGE while a snapshot is on its way and nothing of it or after it is confirmed;
-    - `missing`, unless it is None, holds every key that has changed since `base`, with its newest value. It may hold
-      further keys: their newest values do no harm, wherever between `base` and the newest state the voter is;
-    - `unanswered` counts the steps offered since the voter last confirmed one;
-    - each one in `waiting` is told once, as soon as the voter has the sequence that it waits for, or an update
+      or NO_SNAPSHOT while a snapshot is being transferred and neither it nor anything after it is confirmed;
+    - `missing`, unless it is None, maps every key that has changed since `base` to its newest value. It may hold further
+      keys: their newest values are correct for any state of the voter between `base` and the newest one;
+    - `unanswered` counts the append requests proposed since the voter last confirmed one;
+    - each Deferred in `waiting` fires once, as soon as the voter has the sequence that it waits for, or an update
       failed."""
 
     base: tuple
     missing: dict | None = None
     missing_size: int = 0
-    floor: int = 0  # sequence; confirmations of earlier ones are no base, as `missing` holds what changed after it
+    floor: int = 0  # lowest sequence that may become `base`, since `missing` holds just the changes after it
     unanswered: int = 0
     is_updating: bool = False
-    outranked: HigherPromise | None = None
+    higher_promise: HigherPromise | None = None
     waiting: list = field(default_factory=list)
 
-    def add(self, changes, most):
-        """Further changes; past `most` bytes a whole snapshot is as cheap."""
+    def add(self, changes, limit):
+        """Adds further changes to `missing`; beyond `limit` bytes a whole snapshot is no more expensive."""
         if self.missing is None:
             return
         for key, value in changes.items():
@@ -191,34 +196,34 @@
                 self.missing_size -= _cost(key, self.missing[key])
             self.missing[key] = value
             self.missing_size += _cost(key, value)
-        if self.missing_size > most:
-            self.forget_missing()
+        if self.missing_size > limit:
+            self.stop_collecting()
 
-    def forget_missing(self):
-        """From here on only a whole snapshot will do."""
+    def stop_collecting(self):
+        """Discards the collected changes, so that only a whole snapshot can update the voter."""
         self.missing, self.missing_size = None, 0
 
-    def gather_anew(self):
-        """What changes from now on follows the newest state, which the voter has."""
+    def start_collecting(self):
+        """Starts an empty collection of changes, for a voter that has or is about to receive the newest state."""
         self.missing, self.missing_size = {}, 0
 
     def begin_snapshot(self, sequence):
-        """What changes from now on follows the snapshot of this sequence, which is about to be sent. What is confirmed
-        of before it is no base any more."""
+        """Collects changes from now on to follow the snapshot of this sequence, which is about to be sent. Confirmations
+        of earlier sequences no longer count as a base."""
         self.base, self.floor = NO_SNAPSHOT, sequence
-        self.gather_anew()
+        self.start_collecting()
 
-    def until(self, sequence):
-        """Fires once the voter has this sequence."""
+    def await_sequence(self, sequence):
+        """A Deferred that fires once the voter has this sequence."""
         reached = defer.Deferred()
         self.waiting.append((sequence, reached))
         return reached
 
     def end_waiting(self, sequence, error=None):
-        """Tells those who wait for at most this sequence."""
-        ended = [reached for wanted, reached in self.waiting if wanted <= sequence]
+        """Fires the Deferreds that wait for this sequence or an earlier one."""
+        due = [reached for wanted, reached in self.waiting if wanted <= sequence]
         self.waiting = [(wanted, reached) for wanted, reached in self.waiting if wanted > sequence]
-        for reached in ended:
+        for reached in due:
             if error is None:
                 reached.callback(None)
             else:
@@ -226,8 +231,10 @@
 
 
 class ShardProgress:
-    """What the leader of one shard knows of its voters. Invariants: `newest` is the sequence that was offered last, and
-    `pending` its changes, which are not among the leader's entries until a majority has them."""
+    """What the leader of one shard knows about the replication to its voters.
+
+    Invariants: `newest` is the sequence that was proposed last, and `pending` its changes, which are not in the
+    leader's entries until a majority has them."""
 
     def __init__(self, epoch):
         self._epoch = epoch
@@ -238,26 +245,26 @@
     def of(self, voter_id):
         return self._voters.setdefault(voter_id, VoterProgress(NO_SNAPSHOT))
 
-    def offer(self, sequence, changes, start, voter_ids, snapshot_size):
-        """A step that is about to be given to these voters; the first one follows the snapshot `start`."""
+    def note_proposal(self, sequence, changes, start, voter_ids, snapshot_size):
+        """Records a change that is about to be proposed to these voters; the first one follows the snapshot `start`."""
         if sequence == self.newest:
-            return  # the same step, under the next voting configuration
+            return  # the same change, proposed again under the next voting configuration
         if not self.newest:
             self._voters = {voter_id: VoterProgress(start, {}) for voter_id in voter_ids}
-        most = min(max(SNAPSHOT_PART, snapshot_size), UPDATE_LIMIT)
+        limit = min(max(SNAPSHOT_PART, snapshot_size), UPDATE_LIMIT)
         for progress in self._voters.values():
-            progress.add(changes, most)
+            progress.add(changes, limit)
             progress.unanswered += 1
         self.newest, self.pending = sequence, changes
 
     def confirm(self, voter_id, sequence):
-        """The voter has this sequence on its disk."""
+        """Records that the voter has this sequence on its disk."""
         progress = self.of(voter_id)
         if sequence >= progress.floor:
             progress.base = max(progress.base, (self._epoch, sequence))
-        progress.outranked, progress.unanswered = None, 0
+        progress.higher_promise, progress.unanswered = None, 0
         if sequence == self.newest:
-            progress.gather_anew()
+            progress.start_collecting()
         progress.end_waiting(sequence)
 
     def confirmed(self, voter_id):
@@ -266,165 +273,178 @@
         return sequence if epoch == self._epoch else 0
 
     def is_behind(self, voter_id):
-        """Whether the voter lacks what was the newest at the last look already."""
+        """Whether the voter lacks a change that had already been proposed at the last poll."""
         return self.confirmed(voter_id) < self.newest_at_poll
 
     def is_stalled(self, voter_id):
-        """Whether steps are not sent to the voter one by one any more, as it would have to take them in later in vain."""
+        """Whether append requests are no longer sent to the voter one by one, since it would only receive them late and
+        to no effect."""
         return self.is_behind(voter_id) and self.of(voter_id).unanswered > UNANSWERED_STEPS
 
-    def outrank(self, voter_id, epoch, now):
-        """Notes that the voter has promised this later epoch, and since when (monotonic seconds)."""
-        known = self.of(voter_id).outranked
+    def note_higher_promise(self, voter_id, epoch, now):
+        """Records that the voter has promised this later epoch, and when this became known (monotonic seconds)."""
+        known = self.of(voter_id).higher_promise
         if known is None or known.epoch != epoch:
-            self.of(voter_id).outranked = HigherPromise(epoch, now)
+            self.of(voter_id).higher_promise = HigherPromise(epoch, now)
 
-    def is_outranked(self, voter_ids, now):
-        """Whether one of these voters has stood by a later epoch for long, under which nobody came to serve."""
-        found = [self.of(voter_id).outranked for voter_id in voter_ids]
-        return any(one is not None and now - one.since > OUTRANKED_PATIENCE for one in found)
+    def is_superseded(self, voter_ids, now):
+        """Whether one of these voters has been bound to a later epoch for more than OUTRANKED_PATIENCE, without a leader
+        serving under that epoch."""
+        promises = [self.of(voter_id).higher_promise for voter_id in voter_ids]
+        return any(one is not None and now - one.since > OUTRANKED_PATIENCE for one in promises)
 
 
 class VoterUpdates:
-    """Brings voters that are behind up to date: those that refuse a step for want of what is before it, and at each
-    look those that have lacked something since the look before, so that a system in which nothing changes heals as
-    well.
+    """Brings voters that are behind up to date: a voter that refuses an append request because it lacks earlier changes,
+    and at each poll the voters that have lacked something since the previous poll, so that they also catch up while no
+    changes are made.
 
-    Invariants: at most one update for each shard and voter is under way, and at most one snapshot to each voter."""
+    Invariants: at most one update for each shard and voter is in progress, and at most one transfer of a long snapshot
+    to each voter."""
 
     def __init__(self, leaders, node, on_epoch_superseded):
-        """`on_epoch_superseded(shard, epoch)` is told of a voter that has promised a later epoch than this leader's."""
-        self._owners, self._net, self._log = leaders, node.net, node.log
+        """`on_epoch_superseded(shard, leader)` is called when a voter has promised a later epoch than the leader's."""
+        self._leaders, self._net, self._log = leaders, node.net, node.log
         self._gossip_client, self._reactor, self._seconds = node.gossip_client, node.reactor, node.reactor.seconds
         self._on_epoch_superseded = on_epoch_superseded
         self._snapshot_locks = {}
-        self.behind = 0  # shards and voters; that lacked something at the last look
+        self.behind = 0  # pairs of a shard and a voter that lacked something at the last poll
 
-    async def give(self, voter, change, response):
-        """Returns once the voter has this change; `response` is its first answer to it, or None if it gave none.
+    async def deliver(self, voter, change, response):
+        """Returns once the voter has this change; `response` is its first response to it, or None if there was none.
 
-        A voter that has the snapshot with which a failover begins needs nothing more.
+        A voter that has the snapshot with which a failover begins needs nothing but the change.
         """
-        owner, sequence, version = change.leader, change.sequence, change.voting_config_version
+        leader, sequence, version = change.leader, change.sequence, change.voting_config_version
         if response is None or response.again:
-            response = await self._accept(voter, version, owner, sequence, change.changes.items(), base=change.start)
+            response = await self._append(voter, version, leader, sequence, change.changes.items(), base=change.start)
         if response.needs_snapshot:
-            progress = owner.progress.of(voter.node_id)
-            if progress.base in (change.start, (owner.epoch, sequence - 1)):  # it lacks even what this change follows
-                progress.forget_missing()
-            await self._reach(voter, version, owner, sequence)
+            progress = leader.progress.of(voter.node_id)
+            if progress.base in (
+                change.start,
+                (leader.epoch, sequence - 1),
+            ):  # it lacks the state that the change follows
+                progress.stop_collecting()
+            await self._update_to(voter, version, leader, sequence)
             return
-        self._note(voter, owner, sequence, response)
+        self._record_response(voter, leader, sequence, response)
 
     async def await_update(self, voter, change):
-        """Returns once a stalled voter has this change by its update."""
+        """Returns once an update has brought this change to a stalled voter."""
         if not self._gossip_client.answers_lately(voter.address):
-            raise OutcomeUnknownError("the voter has not answered lately")
-        reached = self._reach(voter, change.voting_config_version, change.leader, change.sequence)
-        await within(self._reactor, CALL_TIME, reached, OutcomeUnknownError("the update of the voter takes long"))
+            raise OutcomeUnknownError("the voter has not answered gossip requests recently")
+        reached = self._update_to(voter, change.voting_config_version, change.leader, change.sequence)
+        await within(self._reactor, CALL_TIME, reached, OutcomeUnknownError("the update of the voter timed out"))
 
-    def poll(self, held, voters, voting_config_version):
-        """Starts updates of those who are behind and answer."""
+    def poll(self, led, voters, voting_config_version):
+        """Starts updates of the voters that are behind and answer gossip requests."""
         self.behind = 0
-        for shard, owner in held.items():
-            progress = owner.progress
+        for shard, leader in led.items():
+            progress = leader.progress
             late = [voter for voter in voters if progress.is_behind(voter.node_id)]
             self.behind += len(late)
             for voter in late:
                 if self._gossip_client.answers_lately(voter.address):
-                    spawn(self._reach(voter, voting_config_version, owner, progress.newest))
+                    spawn(self._update_to(voter, voting_config_version, leader, progress.newest))
             progress.newest_at_poll = progress.newest
-            if progress.is_outranked([voter.node_id for voter in voters], self._seconds()):
-                self._on_epoch_superseded(shard, owner)
+            if progress.is_superseded([voter.node_id for voter in voters], self._seconds()):
+                self._on_epoch_superseded(shard, leader)
 
-    async def _reach(self, voter, voting_config_version, owner, sequence):
-        progress = owner.progress.of(voter.node_id)
-        reached = progress.until(sequence)
+    async def _update_to(self, voter, voting_config_version, leader, sequence):
+        progress = leader.progress.of(voter.node_id)
+        reached = progress.await_sequence(sequence)
         if not progress.is_updating:
-            spawn(self._update(voter, voting_config_version, owner, progress), self._log)
+            spawn(self._update(voter, voting_config_version, leader, progress), self._log)
         await reached
 
-    async def _update(self, voter, voting_config_version, owner, progress):
-        """Until the voter has all that was offered: from then on steps follow on what it has."""
+    async def _update(self, voter, voting_config_version, leader, progress):
+        """Updates the voter until it has all proposed changes; append requests follow its state from then on."""
         progress.is_updating = True
-        error = QuorumUnavailableError("the update of this voter was broken off")
+        error = QuorumUnavailableError("the update of this voter was interrupted")
         try:
-            while owner.progress.confirmed(voter.node_id) < owner.progress.newest:
-                if owner.ended:
-                    raise NotShardLeaderError("this slot is changing hands")
+            while leader.progress.confirmed(voter.node_id) < leader.progress.newest:
+                if leader.ended:
+                    raise NotShardLeaderError("this shard is moving to another leader")
                 if progress.missing is None:
-                    await self._send_snapshot(voter, voting_config_version, owner, progress)
+                    await self._send_snapshot(voter, voting_config_version, leader, progress)
                 else:
-                    await self._send_missing(voter, voting_config_version, owner, progress)
+                    await self._send_missing(voter, voting_config_version, leader, progress)
         except OakrampError as failed:
             error = failed
         finally:
             progress.is_updating = False
-            progress.end_waiting(owner.progress.newest, error)
-
-    async def _send_missing(self, voter, voting_config_version, owner, progress):
-        """All that the voter lacks as one step."""
-        sequence, changes = owner.progress.newest, dict(progress.missing)
-        taken = await self._accept(voter, voting_config_version, owner, sequence, changes.items(), base=progress.base)
-        if taken.needs_snapshot:
-            progress.forget_missing()
+            progress.end_waiting(leader.progress.newest, error)
+
+    async def _send_missing(self, voter, voting_config_version, leader, progress):
+        """Sends all changes that the voter lacks in one merged append request."""
+        sequence, changes = leader.progress.newest, dict(progress.missing)
+        response = await self._append(
+            voter, voting_config_version, leader, sequence, changes.items(), base=progress.base
+        )
+        if response.needs_snapshot:
+            progress.stop_collecting()
             return
-        self._note(voter, owner, sequence, taken)
+        self._record_response(voter, leader, sequence, response)
 
-    async def _send_snapshot(self, voter, voting_config_version, owner, progress):
-        """One long snapshot to a voter at a time: many at once would each take longer than a call may."""
-        if owner.size <= SNAPSHOT_PART:
-            await self._transfer_snapshot(voter, voting_config_version, owner, progress)
+    async def _send_snapshot(self, voter, voting_config_version, leader, progress):
+        """Sends long snapshots to a voter one at a time: if several were sent at once, each would exceed the time limit
+        of a call."""
+        if leader.size <= SNAPSHOT_PART:
+            await self._transfer_snapshot(voter, voting_config_version, leader, progress)
             return
         lock = self._snapshot_locks.setdefault(voter.node_id, defer.DeferredLock())
         has_waited = lock.locked
         await lock.acquire()
         try:
             if has_waited and not self._gossip_client.answers_lately(voter.address):
-                raise QuorumUnavailableError("the voter does not answer")
-            await self._transfer_snapshot(voter, voting_config_version, owner, progress)
+                raise QuorumUnavailableError("the voter does not answer gossip requests")
+            await self._transfer_snapshot(voter, voting_config_version, leader, progress)
         finally:
             lock.release()
 
-    async def _transfer_snapshot(self, voter, voting_config_version, owner, progress):
-        sequence, entries = owner.snapshot_with(owner.progress.newest, owner.progress.pending)
+    async def _transfer_snapshot(self, voter, voting_config_version, leader, progress):
+        sequence, entries = leader.snapshot_with(leader.progress.newest, leader.progress.pending)
         progress.begin_snapshot(sequence)
         try:
-            taken = await self._give_snapshot(voter, voting_config_version, owner, sequence, entries)
-            if taken.needs_snapshot:
-                raise QuorumUnavailableError("the voter has lost parts of the image")
-            self._note(voter, owner, sequence, taken)
+            response = await self._send_snapshot_parts(voter, voting_config_version, leader, sequence, entries)
+            if response.needs_snapshot:
+                raise QuorumUnavailableError("the voter has lost parts of the snapshot")
+            self._record_response(voter, leader, sequence, response)
         except OakrampError:
-            progress.forget_missing()
+            progress.stop_collecting()
             raise
-        self._log.info("snapshot_sent", shard=owner.shard, voter=voter.node_id, sequence=sequence, entries=len(entries))
+        self._log.info(
+            "snapshot_sent", shard=leader.shard, voter=voter.node_id, sequence=sequence, entries=len(entries)
+        )
 
-    async def _give_snapshot(self, voter, voting_config_version, owner, sequence, entries):
-        """In the order of the keys: so each try at one snapshot has the same parts, and none is mixed up with a late
-        one."""
+    async def _send_snapshot_parts(self, voter, voting_config_version, leader, sequence, entries):
+        """Sends the snapshot in parts, in the order of the keys: each attempt to send one snapshot then has the same
+        parts, and a part of an earlier attempt that arrives late does no harm."""
         *parts, last = in_parts(sorted(entries.items()), SNAPSHOT_PART)
         for number, part in enumerate(parts):
-            taken = await self._give("stage", voter, voting_config_version, owner, sequence, part, part=number)
-            if not taken.taken:
-                return taken
-        return await self._give(
-            "accept", voter, voting_config_version, owner, sequence, last, whole=True, parts=len(parts)
+            response = await self._call_voter(
+                "stage", voter, voting_config_version, leader, sequence, part, part=number
+            )
+            if not response.taken:
+                return response
+        return await self._call_voter(
+            "accept", voter, voting_config_version, leader, sequence, last, whole=True, parts=len(parts)
         )
 
-    def _note(self, voter, owner, sequence, taken):
-        """Takes in what a voter answered that did not lack anything."""
-        if not taken.taken:
-            self._owners.failover.note_epoch(owner.shard, taken.promised_epoch or 0)
-            owner.progress.outrank(voter.node_id, taken.promised_epoch, self._seconds())
+    def _record_response(self, voter, leader, sequence, response):
+        """Records the response of a voter that did not lack earlier changes."""
+        if not response.taken:
+            self._leaders.failover.note_epoch(leader.shard, response.promised_epoch or 0)
+            leader.progress.note_higher_promise(voter.node_id, response.promised_epoch, self._seconds())
             raise QuorumUnavailableError("the voter has promised a later epoch")
-        owner.progress.confirm(voter.node_id, sequence)
+        leader.progress.confirm(voter.node_id, sequence)
 
-    def _accept(self, voter, voting_config_version, owner, sequence, pairs, base):
-        return self._give(
+    def _append(self, voter, voting_config_version, leader, sequence, pairs, base):
+        return self._call_voter(
             "accept",
             voter,
             voting_config_version,
-            owner,
+            leader,
             sequence,
             pairs,
             whole=False,
@@ -432,15 +452,15 @@
             from_sequence=base[1],
         )
 
-    def _give(self, method, voter, voting_config_version, owner, sequence, pairs, **more):
+    def _call_voter(self, method, voter, voting_config_version, leader, sequence, pairs, **more):
         voter_id, address = voter
         return self._net.call(
             address,
             method,
             CALL_TIME,
             to=voter_id,
-            shard=owner.shard,
-            epoch=owner.epoch,
+            shard=leader.shard,
+            epoch=leader.epoch,
             owner=self._net.node_id,
             voting_config_version=voting_config_version,
             sequence=sequence,
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -1,4 +1,4 @@
-"""Replication of a shard's changes: each is proposed to all voters, and a majority of their disks decides."""
+"""Replication of a shard's changes: each is proposed to all voters and succeeds once a majority has it on disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from oakramp.control.voter import Voter
     from oakramp.gossip.node import Node
 
-RETRY_PAUSE = LEASE_RENEW / 4  # s; until a voter that is passing to this voting configuration is asked again
+RETRY_PAUSE = LEASE_RENEW / 4  # s; until a voter that is still adopting this voting configuration is asked again
 
 
 def entries_of(pairs: Iterable[tuple[str, bytes | None]]) -> list[Any]:
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """One change on its way to one voter; `packed` is the AppendEntries message."""
+    """One change that is being sent to one voter; `packed` is the AppendEntries message."""
 
     voter: VoterAddress
     proposal: Proposal
@@ -41,7 +41,7 @@
 
 
 class ShardReplicator:
-    """Brings the changes of the shards that this node leads to the voters, and voters that are behind up to date."""
+    """Replicates changes of the shards that this node leads to the voters, and updates voters that are behind."""
 
     def __init__(
         self,
@@ -67,11 +67,12 @@
     ) -> bool:
         """Replicates one change, which follows the snapshot `start` (epoch, sequence) where a failover begins.
 
-        While voters pass from one voting configuration to the next, the same change is proposed again: who has it says
-        so.
+        While voters change from one voting configuration to the next, the same change is proposed again; a voter that
+        already has it confirms it.
 
         Returns:
-            whether a majority has it on disk, all under one voting configuration. If not, a minority may have it.
+            whether a majority has it on disk, all under one voting configuration. If not, a minority may have it, and
+            the outcome is unknown.
         """
         began_at = self._reactor.seconds()
         ends_at = began_at + CALL_TIME
@@ -80,7 +81,7 @@
             change = ShardChange(leader, voting_config.version, sequence, changes, start)
             proposal = Proposal(voting_config, ends_at)
             reached, errors = await self._propose(proposal, change, voting_config.everyone)
-            self._tell_slow(leader, proposal, began_at)
+            self._log_if_slow(leader, proposal, began_at)
             if reached:
                 leader.voting_config_version = voting_config.version
                 return True
@@ -88,7 +89,7 @@
                 return False
             await sleep(self._reactor, RETRY_PAUSE)
 
-    def _tell_slow(self, leader: ShardLeader, proposal: Proposal, began_at: float) -> None:
+    def _log_if_slow(self, leader: ShardLeader, proposal: Proposal, began_at: float) -> None:
         took_s = self._reactor.seconds() - began_at
         if took_s >= REPLICATION_SLOW:
             self._node.log.info(
@@ -96,17 +97,17 @@
                 shard=leader.shard,
                 epoch=leader.epoch,
                 took_s=round(took_s, 3),
-                without=",".join(proposal.without()),
+                without=",".join(proposal.unconfirmed_by()),
             )
 
     async def update_voters(self) -> None:
-        """Starts to update the voters that lack something."""
+        """Starts updates of the voters that lack changes."""
         if self._registry.active:
             self._updates.poll(dict(self._registry.active), self._voters(), self._voter.voting_config.version)
 
     @property
     def voters_behind(self) -> int:
-        """Voters that lacked something at the last poll, counted once for each shard that this node leads."""
+        """Voters that lacked changes at the last poll, counted once for each shard that this node leads."""
         return self._updates.behind if self._registry.active else 0
 
     def _voters(self) -> list[VoterAddress]:
@@ -114,7 +115,7 @@
 
     def _propose(self, proposal: Proposal, change: ShardChange, voter_ids: Iterable[str]) -> Deferred:
         leader, start = change.leader, change.start
-        leader.progress.offer(change.sequence, change.changes, start, voter_ids, leader.size)
+        leader.progress.note_proposal(change.sequence, change.changes, start, voter_ids, leader.size)
         packed = pack(
             idl.AppendEntries(
                 shard=leader.shard,
@@ -145,11 +146,11 @@
             append.proposal.settle(append.voter.node_id)
         elif response is None and not isinstance(error, NotFoundError):
             self._on_error(append, error)
-        else:  # the voter lacks something, is busy with this shard, or is of a release that takes changes one by one
-            self._finish_after(self._updates.give(append.voter, append.change, response), append)
+        else:  # the voter lacks changes, is busy with this shard, or runs a release without batched append requests
+            self._finish_after(self._updates.deliver(append.voter, append.change, response), append)
 
     def _finish_after(self, update: Coroutine[Any, Any, None], append: Append) -> None:
-        """Counts the voter once the update that brings it this change has ended."""
+        """Counts the voter's answer once the update that brings it this change has ended."""
 
         def on_end(_result: None, error: OakrampError | None) -> None:
             if error is None:
@@ -160,9 +161,9 @@
         drive(update, on_end)
 
     def _on_error(self, append: Append, error: OakrampError | None) -> None:
-        """A voter that is passing to this voting configuration is asked again by itself.
+        """Counts a failure, unless the voter is only adopting another voting configuration: then it is asked again.
 
-        Otherwise all voters would wait for one that is dead.
+        It is asked again on its own: a new proposal to all voters would have to wait for the answers of dead ones.
         """
         if is_moving(error):
             self._reactor.callLater(RETRY_PAUSE, self._send_again, append, error)
@@ -174,7 +175,7 @@
         if proposal.outcome.called:
             return
         if change.voting_config_version != self._voter.voting_config.version:
-            proposal.give_up(append.voter.node_id, error)  # it is proposed to all anew under the next configuration
+            proposal.fail(append.voter.node_id, error)  # `replicate` proposes it again under the next configuration
         elif change.leader.ended or self._reactor.seconds() >= proposal.ends_at:
             proposal.settle(append.voter.node_id, error)
         else:
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1326,7 +1326,7 @@
     CodeMutation(
         "an idle voter that is behind is brought up to date",
         "control/oakramp/control/replication.py",
-        "spawn(self._reach(voter, voting_config_version, owner, progress.newest))",
+        "spawn(self._update_to(voter, voting_config_version, leader, progress.newest))",
         "pass",
         "test_catching_up.QuietSystem.test_a_member_that_was_killed",
     ),
@@ -1341,20 +1341,23 @@
         "what changes during an image's transfer follows it",
         "control/oakramp/control/replication.py",
         "        progress.begin_snapshot(sequence)\n",
-        "        progress.forget_missing()\n",
+        "        progress.stop_collecting()\n",
         "test_catching_up.BusySystem.test_a_slow_member_catches_up_while_changes_keep_coming",
     ),
     CodeMutation(
         "all that a voter missed is in its merged step",
         "control/oakramp/control/replication.py",
         "        for key, value in changes.items():\n            if key in self.missing:",
-        "        self.gather_anew()\n        for key, value in changes.items():\n            if key in self.missing:",
+        (
+            "        self.start_collecting()\n        for key, value in changes.items():\n"
+            "            if key in self.missing:"
+        ),
         "test_catching_up.ManyChanges.test_members_in_trouble_among_many_changes",
     ),
     CodeMutation(
         "a slot is taken over anew above a voter's later promise",
         "control/oakramp/control/replication.py",
-        "self._on_epoch_superseded(shard, owner)",
+        "self._on_epoch_superseded(shard, leader)",
         "pass",
         "test_catching_up.QuietSystem.test_a_member_that_has_promised_a_later_epoch",
     ),
