--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -228,7 +228,7 @@
         """Returns a leader under this epoch whose first lease is confirmed and that does not serve yet."""
         preparation = PreparePhase(self._registry, self._node, self._voter, shard, epoch)
         await preparation.prepare()
-        newest_voter, start = preparation.newest()
+        newest_voter, start = preparation.newest_snapshot()
         entries = await preparation.fetch_snapshot(newest_voter)
         leader = ShardLeader(self._registry, shard, epoch, entries, 0)
         if not await self._registry.replicator.replicate(leader, 1, {}, start):
--- a/packages/control/oakramp/control/lease.py
+++ b/packages/control/oakramp/control/lease.py
@@ -34,8 +34,8 @@
         self.asked_at = asked_at
         self._confirmed_by: dict[int, set[str]] = {shard: set() for shard in leaders}
 
-    def take(self, node_id: str, shards: set[int]) -> None:
-        """Counts a voter's confirmation of these shards; a majority extends the leader's lease."""
+    def count_confirmations(self, node_id: str, shards: set[int]) -> None:
+        """Counts a voter's confirmation of these shards; once a majority has confirmed, extends the leader's lease."""
         for shard in shards & self._confirmed_by.keys():
             self._confirmed_by[shard].add(node_id)
             if self.voting_config.is_quorum(self._confirmed_by[shard]):
@@ -46,8 +46,8 @@
 class LeaseRenewalPiggyback:
     """Sends lease renewals along with this node's gossip requests to voters.
 
-    Nobody waits for the outcome: a lease that is not confirmed this way, for whatever reason, is renewed by a call of
-    its own at the next renewal (`LeaseRenewer.renew`).
+    Nothing waits for the outcome: a lease that is not confirmed this way, for whatever reason, is renewed by a separate
+    call at the next renewal (`LeaseRenewer.renew`).
     """
 
     def __init__(self, registry: LeaderRegistry, node: Node) -> None:
@@ -57,7 +57,7 @@
         self._voters: dict[str, str] = {}  # address -> node id
 
     def begin_round(self) -> None:
-        """Starts a round for all leaders of this node; its own voter is asked at once."""
+        """Starts a round for all leaders of this node, and asks this node's own voter at once."""
         self._round, self._voters = self._registry.leases.begin_round(), {}
         if self._round is None:
             return
@@ -68,7 +68,8 @@
         self._registry.leases.confirm_at(self._round, [own_id])
 
     def renewal_for(self, address: str) -> tuple[Any, Callable[[Iterable[int]], None]] | None:
-        """The renewal for the voter at this address, and what counts the shards it confirms; None if it is no voter."""
+        """The renewal for the voter at this address, and a callback for the shards that it confirms; None if there is
+        no voter at this address."""
         node_id, round_ = self._voters.get(address), self._round
         if node_id is None or round_ is None:
             return None
@@ -78,7 +79,7 @@
             shards=list(round_.leaders),
             epochs=[leader.epoch for leader in round_.leaders.values()],
         )
-        return renewal, lambda shards: round_.take(node_id, set(shards))
+        return renewal, lambda shards: round_.count_confirmations(node_id, set(shards))
 
 
 class LeaseRenewer:
@@ -91,17 +92,18 @@
         self._registry = registry
 
     async def renew(self) -> None:
-        """Starts one round of confirmations and ends leaders whose lease expired long ago.
+        """Starts one round of confirmations, and ends leaders whose lease expired more than LEASE seconds ago.
 
-        Answers extend the leases as they come in, so a slow voter delays neither the others nor the next round.
+        Each answer counts when it arrives, so a slow voter delays neither the others nor the next round.
         """
         now = self._reactor.seconds()
         for shard, leader in list(self._registry.active.items()):
             if now > leader.lease_until + LEASE:
                 self._log.warning("lease_lost", shard=shard, epoch=leader.epoch)
                 leader.end()
-        oldest_fresh = now + LEASE_HELD - LEASE_FRESH  # gossip requests have renewed what runs at least until then
-        if any(leader.lease_until < oldest_fresh for leader in self._registry.active.values()):
+        # A lease that lasts at least until then was just renewed along with gossip requests and needs no call.
+        fresh_until = now + LEASE_HELD - LEASE_FRESH
+        if any(leader.lease_until < fresh_until for leader in self._registry.active.values()):
             self.confirm(dict(self._registry.active))
         for leader in self._registry.active.values():
             if leader.voting_config_version < self._voter.voting_config.version:
@@ -120,11 +122,11 @@
             self.confirm_at(round_, round_.voting_config.everyone)
 
     def confirm_at(self, round_: LeaseRound, voter_ids: Collection[str]) -> None:
-        """Asks each of these voters with a call of its own."""
+        """Asks each of these voters to confirm, in a separate call."""
         leases = [idl.ShardEpoch(shard=shard, epoch=leader.epoch) for shard, leader in round_.leaders.items()]
 
         async def ask(node_id: str, response: Awaitable[Any]) -> None:
-            round_.take(node_id, {lease.shard for lease in await response})
+            round_.count_confirmations(node_id, {lease.shard for lease in await response})
 
         for node_id, response in self._registry.ask_voters("confirm", voter_ids, leases=leases).items():
             spawn(ask(node_id, response))
--- a/packages/control/oakramp/control/prepare_phase.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -1,5 +1,5 @@
-"""The first half of a failover: a majority's promises, the newest snapshot among them, and the end of the previous
-lease."""
+"""The first half of a failover: obtains promises from a majority and the newest snapshot among them, and waits for the
+end of the previous lease."""
 
 from sortedcontainers import SortedDict
 
@@ -10,27 +10,30 @@
 
 
 def is_moving(error):
-    """Whether a voter refused only because it stands in another voting configuration than the asker."""
+    """Whether a voter refused only because it has another version of the voting configuration than the requester."""
     return isinstance(error, StaleEpochError) and bool(error.detail)
 
 
 class PreparePhase:
-    """One epoch of a shard, sought by this node. Invariant: once `prepare` has ended, `_promises` are those of a
-    majority, and `_prepared_at` is no earlier than any of them; `_unsure` holds the voters that are not being asked and
-    have not said that they hold no lease."""
+    """This node's attempt to obtain one epoch of a shard.
+
+    Invariants: once `prepare` has ended, `_promises` are those of a majority, and `_prepared_at` is no earlier than any
+    of them; `_unreported` holds the voters that no request is pending to and that have not reported that they hold no
+    lease."""
 
     def __init__(self, registry, node, voter, shard, epoch):
         self._registry, self._node, self._voter = registry, node, voter
         self._shard, self._epoch = shard, epoch
-        self._previous = PreviousLeases(node.reactor, self._possible_holders())
-        self._promises, self._prepared_at, self._unsure = {}, None, set()
+        self._previous = PreviousLeases(node.reactor, self._possible_lease_holders())
+        self._promises, self._prepared_at, self._unreported = {}, None, set()
 
-    def _possible_holders(self):
-        """Who may hold a lease: all of the voting configuration, but those whose process has surely ended."""
-        return self._voter.voting_config.everyone.keys() - self._ended_holders()
+    def _possible_lease_holders(self):
+        """Node ids that may hold a lease: all of the voting configuration, except those whose process is known to have
+        ended."""
+        return self._voter.voting_config.everyone.keys() - self._holders_with_ended_process()
 
-    def _ended_holders(self):
-        """Members of the voting configuration in whose place another process listens."""
+    def _holders_with_ended_process(self):
+        """Members of the voting configuration at whose address another process now listens."""
         return {
             node_id
             for node_id, peer in self._voter.voting_config.everyone.items()
@@ -46,8 +49,8 @@
         )
 
         def end() -> None:
-            # Voters that have passed to the next voting configuration promise nothing under this one any more, and for
-            # those that are away nobody should wait.
+            # Voters that have adopted the next voting configuration promise nothing under this one any more, and there
+            # is no point in waiting for voters that are unreachable.
             if not majority.called:
                 majority.errback(QuorumUnavailableError(f"the voting configuration changed before epoch {self._epoch}"))
 
@@ -70,13 +73,13 @@
                 break
             except OakrampError as error:
                 if not is_moving(error) or voting_config.version != self._voter.voting_config.version:
-                    self._unsure.add(node_id)
+                    self._unreported.add(node_id)
                     raise
             await sleep(self._node.reactor, LEASE_RENEW / 4)
-        self._note_holder(node_id, promise)
+        self._record_lease_report(node_id, promise)
         if not promise.granted:
             self._registry.failover.note_epoch(self._shard, promise.promised_epoch)
-            raise QuorumUnavailableError(f"epoch {promise.promised_epoch} is promised already")
+            raise QuorumUnavailableError(f"epoch {promise.promised_epoch} is already promised")
         return promise
 
     def _ask(self, voter, voting_config, time_left):
@@ -93,52 +96,59 @@
             voting_config_version=voting_config.version,
         )
 
-    def _note_holder(self, node_id, promise):
-        """Granted or refused, the voter has promised this epoch or a later one, so its process attempts nothing below."""
+    def _record_lease_report(self, node_id, promise):
+        """Records whether the voter's process holds a lease. Whether it granted or refused, it has promised this epoch
+        or a later one, so its process starts no attempt under a lower epoch any more."""
         if promise.holds_no_lease:
             self._previous.holds_none(node_id)
         else:
-            self._unsure.add(node_id)
+            self._unreported.add(node_id)
+
+    def _update_possible_holders(self):
+        """Ends or shortens the wait for the previous lease, if possible. Called with each answer to a gossip request.
 
-    def _look_for_holders(self):
-        """After an outage of all, a voter may be back, or another node in its place, only while this waits; or another
-        candidate, which is not to be waited for, has the promise of this node's own voter. Each answer to a gossip
-        request is an occasion to look."""
+        After an outage of all nodes, a voter, or another node at its address, may come back only during this wait. If
+        this node's own voter has meanwhile promised a later epoch to another candidate, the wait is useless."""
         promised_epoch = self._voter.promised_epoch(self._shard)
         if promised_epoch > self._epoch:
-            self._previous.give_up(QuorumUnavailableError(f"epoch {promised_epoch} is promised already"))
+            self._previous.fail(QuorumUnavailableError(f"epoch {promised_epoch} is already promised"))
             return
-        for node_id in self._ended_holders():
+        for node_id in self._holders_with_ended_process():
             self._previous.holds_none(node_id)
-        unsure, self._unsure = self._unsure, set()
+        unreported, self._unreported = self._unreported, set()
         for voter in self._registry.voter_addresses().items():
-            if voter[0] in unsure and self._previous.may_hold(voter[0]):
+            if voter[0] in unreported and self._previous.may_hold(voter[0]):
                 spawn(self._ask_again(voter))
 
     async def _ask_again(self, voter):
-        """Only whether it holds a lease counts: it may have this epoch by its snapshot already, or a later one."""
+        """Asks the voter once more, just to learn whether it holds a lease: it may already have this epoch with the
+        snapshot, or have promised a later one, so that whether it grants does not matter."""
         try:
             promise = await self._ask(voter, self._voter.voting_config, LEASE)
         except OakrampError:
-            self._unsure.add(voter[0])
+            self._unreported.add(voter[0])
             return
-        self._note_holder(voter[0], promise)
+        self._record_lease_report(voter[0], promise)
 
-    def newest(self):
-        """(voter, (epoch, sequence)) of the newest snapshot promised; this node's own if it is as new."""
+    def newest_snapshot(self):
+        """(voter, (epoch, sequence)) of the newest snapshot among the promises; prefers this node's own if it is as
+        new."""
         return max(
             ((node_id, (promise.snapshot_epoch, promise.sequence)) for node_id, promise in self._promises.items()),
             key=lambda row: (row[1], row[0] == self._node.node_id),
         )
 
     async def fetch_snapshot(self, node_id):
-        """The snapshot that this voter promised to keep as it is: given with the promise, or fetched in parts."""
-        given = self._promises[node_id].entries
-        entries, more = SortedDict((entry.key, entry.value) for entry in given or []), given is None
+        """The snapshot of this voter, which its promise keeps unchanged: sent with the promise, or fetched in parts."""
+        promised_entries = self._promises[node_id].entries
+        entries, more = (
+            SortedDict((entry.key, entry.value) for entry in promised_entries or []),
+            promised_entries is None,
+        )
         while more:
             address = self._registry.voter_addresses().get(node_id)
             if address is None:
-                raise QuorumUnavailableError(f"{node_id} left the roster while its image was fetched")
+                raise QuorumUnavailableError(f"{node_id} left the voting configuration while its snapshot was fetched")
             part = await self._node.net.call(
                 address,
                 "imagePart",
@@ -155,16 +165,16 @@
         return entries
 
     async def previous_lease_ended(self, released_epoch):
-        """Waits until no lease of an earlier epoch can be held. There is none if the leader of the last one said so
-        itself."""
+        """Waits until no lease of an earlier epoch can be held any more. There is no need to wait if the leader of the
+        last epoch itself has released it."""
         previous_epoch = max(promise.promised_epoch for promise in self._promises.values())
         if not previous_epoch or previous_epoch == released_epoch:
             return
-        unconfirmed = min(promise.unconfirmed_ms or 0 for promise in self._promises.values()) / 1000
+        unconfirmed_s = min(promise.unconfirmed_ms or 0 for promise in self._promises.values()) / 1000
         answered = self._node.gossip_client.on_answer
-        answered.add(self._look_for_holders)
+        answered.add(self._update_possible_holders)
         try:
-            self._look_for_holders()
-            await self._previous.ended(self._prepared_at - unconfirmed + LEASE)
+            self._update_possible_holders()
+            await self._previous.ended(self._prepared_at - unconfirmed_s + LEASE)
         finally:
-            answered.discard(self._look_for_holders)
+            answered.discard(self._update_possible_holders)
--- a/packages/control/oakramp/control/previous_leases.py
+++ b/packages/control/oakramp/control/previous_leases.py
@@ -13,8 +13,8 @@
 class PreviousLeases:
     """The leases of a shard's earlier epochs.
 
-    They have ended when the last one that was confirmed runs out, or as soon as each process that might hold one has
-    reported that it does not: after an outage of all nodes, that is at once.
+    They have ended when the last confirmed one has expired, or earlier, once each process that might hold one has
+    reported that it does not: after an outage of all nodes, that is the case at once.
     """
 
     def __init__(self, reactor: Any, holders: Iterable[str]) -> None:
@@ -24,17 +24,17 @@
         self._outcome: Deferred[None] = Deferred()
 
     def may_hold(self, node_id: str) -> bool:
-        """Whether this node may still hold one."""
+        """Whether this node may still hold a lease."""
         return node_id in self._left
 
     def holds_none(self, node_id: str) -> None:
-        """This node has reported that it holds no lease of the shard and will not come to one of an earlier epoch."""
+        """Records this node's report that it holds no lease of the shard and will obtain none of an earlier epoch."""
         self._left.discard(node_id)
         if not self._left:
             self._end()
 
     async def ended(self, at: float) -> None:
-        """Returns at this time (monotonic seconds), or before if no node is left that may hold a lease."""
+        """Returns at this time (monotonic seconds), or earlier, once no node is left that may hold a lease."""
         call = self._reactor.callLater(max(0.0, at - self._reactor.seconds()), self._end)
         try:
             await self._outcome
@@ -42,8 +42,8 @@
             if call.active():
                 call.cancel()
 
-    def give_up(self, error: OakrampError) -> None:
-        """Ends the wait with this error: what it is for can come to nothing any more."""
+    def fail(self, error: OakrampError) -> None:
+        """Ends the wait with this error, since the waiting attempt can not succeed any more."""
         if not self._outcome.called:
             self._outcome.errback(error)
 
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -858,7 +858,7 @@
     CodeMutation(
         "wait for the former term",
         "control/oakramp/control/prepare_phase.py",
-        "await self._previous.ended(self._prepared_at - unconfirmed + LEASE)",
+        "await self._previous.ended(self._prepared_at - unconfirmed_s + LEASE)",
         "pass",
         "test_faults.ControlFaults.test_no_two_leases_at_once",
     ),
@@ -938,8 +938,8 @@
     CodeMutation(
         "a lease has lapsed only by a majority's word",
         "control/oakramp/control/lease_expiry.py",
-        "quiet = await self._ask_majority(shards)",
-        "quiet = dict.fromkeys(shards, LEASE_EXPIRED)",
+        "unconfirmed_s = await self._ask_majority(shards)",
+        "unconfirmed_s = dict.fromkeys(shards, LEASE_EXPIRED)",
         "test_failover.LapseTest.test_link_of_owner_to_one_voter",
     ),
     CodeMutation(
@@ -980,7 +980,7 @@
     CodeMutation(
         "a suspected owner's lease is waited for",
         "control/oakramp/control/prepare_phase.py",
-        "await self._previous.ended(self._prepared_at - unconfirmed + LEASE)",
+        "await self._previous.ended(self._prepared_at - unconfirmed_s + LEASE)",
         "pass",
         "test_failover.LapseTest.test_wrong_suspicion_waits_for_the_lease",
     ),
@@ -1525,7 +1525,7 @@
     CodeMutation(
         "another process in a holder's place ends the wait for its lease",
         "control/oakramp/control/prepare_phase.py",
-        "        for node_id in self._ended_holders():\n            self._previous.holds_none(node_id)",
+        "        for node_id in self._holders_with_ended_process():\n            self._previous.holds_none(node_id)",
         "        pass",
         "test_failover.PreviousLeasesTest.test_another_process_in_the_holders_place_ends_it",
     ),
--- a/packages/testbed/oakramp/testbed/explore/mutations.py
+++ b/packages/testbed/oakramp/testbed/explore/mutations.py
@@ -192,8 +192,8 @@
     Mutation(
         "the voter that was quiet longest ends the former term",
         PREPARATION,
-        "unconfirmed = min(",
-        "unconfirmed = max(",
+        "unconfirmed_s = min(",
+        "unconfirmed_s = max(",
     ),
     Mutation(
         "a merged step brings older values",
