--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -8,7 +8,7 @@
 from oakramp.common.tasks import sleep
 from oakramp.common.validation import NAME, check_fields
 from oakramp.control.prefix_placement import PLACEMENT_KEY
-from oakramp.control.quorum_contact import answers_now
+from oakramp.control.quorum_contact import majority_answers
 from oakramp.control.replica_registry import REPLICAS_KEY
 from oakramp.control.shards import shard_of_key
 from oakramp.control.store_membership import STORES_KEY, stores_shown
@@ -190,7 +190,7 @@
             node_id: known.peer if (known := members.find(node_id)) else peer
             for node_id, peer in voting_config.members.items()
         }
-        while not await answers_now(self._node, addresses, voting_config, voting_config.version):
+        while not await majority_answers(self._node, addresses, voting_config, voting_config.version):
             if self._node.reactor.seconds() >= ends_at:
                 raise QuorumUnavailableError("no majority stands in the newest roster yet", retry_after=1)
             await sleep(self._node.reactor, VOTING_CONFIG_MOVING_PAUSE)
--- a/packages/control/oakramp/control/call_trail.py
+++ b/packages/control/oakramp/control/call_trail.py
@@ -1,4 +1,4 @@
-"""The way of one command to the leader of its key: who was asked, what came of it, and how long each took."""
+"""The attempts to deliver one command to the leader of its key: the nodes called, each outcome and its duration."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 
 
 class Attempt(NamedTuple):
-    """One node that was asked, or passed it on: `outcome` is ANSWERED or the code of an error, `began_s` and `took_s`
-    are seconds, the first since the command came."""
+    """One call to a node, or a node's forwarding of the command.
+
+    `outcome` is ANSWERED or the code of an error; `began_s` is the start in seconds since the command was received, and
+    `took_s` the duration in seconds."""
 
     address: str
     outcome: str
@@ -21,7 +23,7 @@
 
 
 class CallTrail:
-    """The attempts of one command so far, in the order in which they ended."""
+    """The finished attempts of one command, in the order in which they ended."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -30,11 +32,11 @@
 
     @property
     def seconds(self) -> float:
-        """How long ago the command came."""
+        """Seconds since the command was received."""
         return float(self._reactor.seconds() - self._began_at)
 
     def note(self, address: str, asked_at: float, outcome: str) -> None:
-        """Enters an attempt that began at `asked_at` (monotonic seconds) and has just ended."""
+        """Adds an attempt that began at `asked_at` (monotonic seconds) and has just ended."""
         took_s = self._reactor.seconds() - asked_at
         self.attempts.append(Attempt(address, outcome, asked_at - self._began_at, took_s))
 
--- a/packages/control/oakramp/control/command_context.py
+++ b/packages/control/oakramp/control/command_context.py
@@ -1,4 +1,4 @@
-"""What a command may read besides the entries of its shard."""
+"""The context of a command: what it may read besides the entries of its shard."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from oakramp.membership.members import Members
 
 
-def _refuse_nothing() -> None:
-    """For commands that run where there is no storage limit, as in tests."""
+def _reject_nothing() -> None:
+    """Stands in for the storage check where there is no storage limit, for example in tests."""
 
 
 class CommandContext:
-    """The surroundings of one batch of commands.
+    """The context of one batch of commands.
 
     `now` is the leader's monotonic time in seconds; `bounds` are the deployment's (seconds by name, see
-    oakramp.common.settings). `marks` lives only as long as the leadership: it maps a key to the time since which the
-    key is counted. `refuse_full` raises StorageFullError; it is for commands that grow the state only where they are no
-    repeat.
+    oakramp.common.settings). `marks` is not replicated and is lost when the leadership ends: among other state, it maps
+    a key to the time from which its age is counted. `reject_if_full` raises StorageFullError when the storage limit is
+    reached; it is called by commands that grow the state unless they are a repetition.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         state_table: StateTable,
         bounds: dict[str, float] | None = None,
         contact: QuorumContact | None = None,
-        refuse_full: Callable[[], None] = _refuse_nothing,
+        reject_if_full: Callable[[], None] = _reject_nothing,
     ) -> None:
         self.now = now
         self.members = members
@@ -45,24 +45,26 @@
         self.voting_config = voting_config
         self.state_table = state_table
         self.bounds = bounds or {}
-        self.refuse_full = refuse_full
+        self.reject_if_full = reject_if_full
         self._contact = contact
 
     def age_of(self, key: str) -> float:
-        """Seconds since the key was marked; an unmarked key is marked now."""
+        """Seconds since the key's start time in `marks`; a key without one gets the present time."""
         return self.now - self.marks.setdefault(key, self.now)
 
     def touch(self, key: str) -> None:
-        """Counts the key's age from now on."""
+        """Restarts the count of the key's age."""
         self.marks[key] = self.now
 
     def refusal(self, error: OakrampError) -> OakrampError:
-        """The error to raise for a refusal that rests on members having been silent.
+        """The error to raise when a command is refused because members have been silent.
 
         Returns:
-            the error itself once this node has been in contact with a quorum for long enough that their silence is a
-            fact; until then QuorumUnavailableError, since the node may merely have heard from nobody.
+            the error itself once this node has been in contact with a quorum for long enough that the members are known
+            to have been silent; until then QuorumUnavailableError, since the node itself may have lacked contact.
         """
         if self._contact is None or self._contact.knows_members():
             return error
-        return QuorumUnavailableError(f"not in touch for long enough to tell: {error.reason}", retry_after=VIEW_RETRY)
+        return QuorumUnavailableError(
+            f"in contact with a quorum for too short a time to decide: {error.reason}", retry_after=VIEW_RETRY
+        )
--- a/packages/control/oakramp/control/controllers.py
+++ b/packages/control/oakramp/control/controllers.py
@@ -1,7 +1,7 @@
 """Controllers: what the commands on each kind of control key do.
 
-A command reads and changes the shard's entries in a transaction; whatever it changed is on a majority of disks before
-its result leaves the shard's leader. Commands are plain functions: they do not wait, do no I/O and know no wall time.
+A command reads and changes the shard's entries in a transaction; its changes are on a majority of disks before its
+result leaves the shard's leader. Commands are plain functions: they do not wait, do no I/O and read no wall clock.
 """
 
 from __future__ import annotations
@@ -36,12 +36,13 @@
 
         Args:
             commands: the commands by name.
-            snapshot: what is published of a key by gossip; None if nothing is.
-            cleanup: the command that removes what has expired, if there is one.
+            snapshot: returns the state of a key that is published by gossip; None if nothing is published.
+            cleanup: the command that removes expired entries, if there is one.
             growing: commands that are rejected when the control state is nearly full.
-            replacing: commands that are rejected if a snapshot of what they leave would not fit beside the present one.
-            deferrable: commands whose callers wait for nothing: they run in one batch with the shard's next command,
-                before it, or after a share of the bound `settle_s`.
+            replacing: commands that are rejected if a snapshot of the resulting state would not fit beside the present
+                one.
+            deferrable: commands whose result no caller is waiting for: they run in one batch with the shard's next
+                command, before it, or after a share of the bound `settle_s`.
         """
         self._commands = Registry("command")
         for name, function in commands.items():
@@ -59,12 +60,12 @@
         try:
             function = self._commands.find(command)
         except NotFoundError as error:
-            raise MethodNotFoundError(f"not in this release: {error.reason}") from error
+            raise MethodNotFoundError(f"not supported by this release: {error.reason}") from error
         return function(transaction, key, arguments)
 
 
 def is_deferrable(key: str, command: str) -> bool:
-    """Whether the command may wait for the next one of its shard; False for a kind of key that is not known."""
+    """Whether the command may be deferred to the next command of its shard; False for an unknown kind of key."""
     try:
         return command in CONTROLLERS.find(key.partition("/")[0]).deferrable
     except NotFoundError:
@@ -82,5 +83,5 @@
 
 
 def cleanups_for(keys: Iterable[str]) -> list[tuple[str, str]]:
-    """The (key, command) pairs that remove what has expired of these keys."""
+    """The (key, command) pairs that remove the expired entries of these keys."""
     return [(key, command) for key in keys for command in [CONTROLLERS.find(key.partition("/")[0]).cleanup] if command]
--- a/packages/control/oakramp/control/fenced_task.py
+++ b/packages/control/oakramp/control/fenced_task.py
@@ -172,7 +172,7 @@
         self._unreachable_since: float | None = None
 
     async def _round(self) -> None:
-        leader = self._owners.active.get(self._shard)
+        leader = self._leaders.active.get(self._shard)
         if leader is not None and leader is not self._known_leader:
             self._failures, self._retry_at = 0, float("-inf")
             self._acted_before = self._acted_at
--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -37,14 +37,14 @@
     from oakramp.control.voter import Voter
     from oakramp.gossip.node import Node
 
-HAND_OVER_POLLS = 20  # polls; a planned stop waits so long for others to take the shards over, and ends the rest
+HAND_OVER_POLLS = 20  # failover polls; how long a planned stop waits for others to take its shards over
 
 
 class LeaderRegistry:
-    """Owns the leaders on this node and the periodic tasks that keep them.
+    """Holds the leaders on this node, and runs the periodic tasks that they need.
 
-    `active` maps a shard to its leader here. Only `failover` enters leaders, and a leader that ends is removed by
-    `retract`. Leases, replication and publication are parts of their own.
+    `active` maps a shard to its leader on this node. Only `failover` adds leaders, and `retract` removes a leader that
+    has ended. Leases, replication and publication are separate components.
     """
 
     def __init__(self, node: Node, voter: Voter) -> None:
@@ -64,7 +64,7 @@
         self._renewal_task = Repeater(node.reactor, LEASE_RENEW, self.leases.renew, node.log)
         self._cleanup_task = Repeater(node.reactor, OWNER_CLEANUP, self._cleanup, node.log)
         self._update_task = Repeater(node.reactor, VOTERS_POLL, self.replicator.update_voters, node.log)
-        self._is_poll_due = self._is_stopping = False
+        self._is_poll_scheduled = self._is_stopping = False
         node.net.handle("ownerCall", self._serve_call)
 
     def start(self) -> None:
@@ -74,20 +74,21 @@
             task.start()
 
     def _poll_failover_soon(self) -> None:
-        """A node is in contact that was not: there may be a majority now, which no shard should wait a poll for."""
-        if not self._is_poll_due:
-            self._is_poll_due = True
+        """Schedules a failover poll at once when contact with a node is established: there may be a majority now, and
+        no shard should have to wait for the next periodic poll."""
+        if not self._is_poll_scheduled:
+            self._is_poll_scheduled = True
             self.reactor.callLater(0, self._poll_failover_now)
 
     def _poll_failover_now(self) -> None:
-        self._is_poll_due = False
+        self._is_poll_scheduled = False
         if not self._is_stopping:
             spawn(self.failover.poll(), self.log)
 
     async def stop(self) -> None:
-        """Waits for the next leaders to ask for the shards, then ends what nobody asked for.
+        """Waits for other nodes to request the release of the shards, then ends the leaders that are left.
 
-        Those shards are taken over once their lease has expired.
+        The shards of these leaders are taken over once their lease has expired.
         """
         self._is_stopping = True
         for task in (self._failover_task, self._cleanup_task, self._update_task):
@@ -101,7 +102,7 @@
         self._renewal_task.stop()
 
     def context_for(self, leader: ShardLeader) -> CommandContext:
-        """The context of the leader's next batch of commands."""
+        """Returns the context of the leader's next batch of commands."""
         return CommandContext(
             self.reactor.seconds(),
             self._node.members,
@@ -110,11 +111,12 @@
             self._node.state_table,
             self._node.env.get("bounds"),
             self.contact,
-            partial(self.refuse_full, leader),
+            partial(self.reject_if_full, leader),
         )
 
     def voter_addresses(self) -> dict[str, str]:
-        """The address of each voter by node id: its own, if it is known, or the one in the voting configuration."""
+        """The address of each voter by node id: the one that the member announces, if it is known, or else the one in
+        the voting configuration."""
         addresses = {}
         for node_id, configured in self._voter.voting_config.everyone.items():
             member = self._node.members.find(node_id)
@@ -127,7 +129,7 @@
         """Calls a method of these voters within `time_left` seconds.
 
         Returns:
-            the response to come of each voter, by node id.
+            a Deferred for the response of each voter, by node id.
         """
         return {
             node_id: self._node.net.call(
@@ -143,31 +145,33 @@
             if node_id in voter_ids
         }
 
-    def refuse_full(self, leader: ShardLeader) -> None:
-        """Rejects a command that would grow a state without capacity left, before anything is done.
+    def reject_if_full(self, leader: ShardLeader) -> None:
+        """Rejects a command that would grow the state when its capacity is used up, before the command runs.
 
-        What is open already still finds capacity to end.
+        The limits leave enough capacity for the operations that are already open to end.
 
         Raises:
             StorageFullError: this shard, or the whole control state, has reached its limit.
         """
         if leader.size > self._voter.shard_limit():
             raise StorageFullError(
-                f"shard {leader.shard} of the control state is full; end programs, or use other names",
+                f"shard {leader.shard} of the control state is full; end programs, or use names in other shards",
                 retry_after=FULL_RETRY,
             )
         if self._voter.is_full():
             raise StorageFullError("the control state is full; end programs", retry_after=FULL_RETRY)
 
-    def refuse_unfit(self, leader: ShardLeader, changes: Mapping[str, bytes | None]) -> None:
-        """Rejects changes after which a snapshot of the shard would not fit beside the present one.
+    def reject_if_not_installable(self, leader: ShardLeader, changes: Mapping[str, bytes | None]) -> None:
+        """Rejects changes after which a voter could not store a new snapshot of the shard beside the present one.
 
         Raises:
             StorageFullError: a voter could not install such a snapshot.
         """
         growth = leader.growth(changes)
         if growth > 0 and not self._voter.has_room(growth, leader.size + growth, len(leader.entries) + len(changes)):
-            raise StorageFullError(f"shard {leader.shard} would not fit a second time; take something out first")
+            raise StorageFullError(
+                f"a second snapshot of shard {leader.shard} would not fit on a voter's disk; remove something first"
+            )
 
     def retract(self, leader: ShardLeader) -> None:
         """Removes a leader that has ended, and stops publishing its sources."""
@@ -176,16 +180,17 @@
         self.publisher.retract(leader)
 
     async def call(self, key: str, command: str, arguments: dict[str, Any]) -> Any:
-        """Runs a command on a key that this node leads.
+        """Runs a command on a key whose shard this node leads.
 
         Raises:
-            NotShardLeaderError: another node leads the shard; `detail` is the address of the one known here, or None.
+            NotShardLeaderError: this node does not lead the shard; `detail` is the address of the known leader, or
+                None.
         """
         shard = shard_of_key(key)
         leader = self.active.get(shard)
         if leader is None:
             known = self.failover.known_leader(shard)
-            raise NotShardLeaderError(f"shard {shard} is led elsewhere", detail=known and known.address)
+            raise NotShardLeaderError(f"this node does not lead shard {shard}", detail=known and known.address)
         return await leader.do(key, command, arguments)
 
     async def _serve_call(self, _peer: Any, arguments: Any) -> str:
@@ -211,7 +216,7 @@
         return self._node.gossip_client.answers_lately(address, VOTING_CONFIG_HEARD)
 
     async def _cleanup(self) -> None:
-        """Removes expired entries: a page of keys of each shard, as one command."""
+        """Removes expired entries of each shard: one page of its keys, as one command."""
         for leader in list(self.active.values()):
             if not leader.holds_lease():
                 continue
--- a/packages/control/oakramp/control/membership_repair.py
+++ b/packages/control/oakramp/control/membership_repair.py
@@ -108,7 +108,7 @@
         if "record" not in rows:
             return
         await self._voter.set_voting_config(json.loads(rows["record"]))
-        for owner in list(self._owners.active.values()):
+        for owner in list(self._leaders.active.values()):
             if owner.voting_config_version < self._voter.voting_config.version:
                 owner.replicate_again()
 
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -198,7 +198,7 @@
         _check_same_change(known, arguments["changeId"], requested)
         return {"outcome": "accepted", "version": known["version"]}
     _check_base_version(head, arguments["basedOn"])
-    transaction.context.refuse_full()
+    transaction.context.reject_if_full()
     if ("blueprint" in requested) == ("change" in requested):
         raise BadRequestError("exactly one of blueprint and change is required")
     if "change" in requested and not head["version"]:
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -177,7 +177,7 @@
                 leader, service, windows.setdefault(service, Window()), rows.get(service), ready.get(service, []), now
             )
         if not leader.ended:
-            self._owners.publisher.poll_times[PLACEMENT_KEY] = now
+            self._leaders.publisher.poll_times[PLACEMENT_KEY] = now
 
     def _ready_replicas(self):
         """The ids of the replicas that are ready, by service."""
--- a/packages/control/oakramp/control/publication.py
+++ b/packages/control/oakramp/control/publication.py
@@ -1,4 +1,4 @@
-"""Publication of control state by gossip: who leads each shard, and the published keys of led shards."""
+"""Publication of control state by gossip: the leader of each shard, and the published keys of the shards led here."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     from oakramp.gossip.node import Node
 
 VOTING_CONFIG_BITS = (
-    20  # bits; of a shard source's version, below the epoch: voting configurations change far less often
+    20  # low bits of a shard source's version, below the epoch: far more than changes of the voting configuration need
 )
 
 
 class Publisher:
-    """Publishes led shards and published keys as gossip sources, each confirmed while its leader holds the lease.
+    """Publishes shards led here and their published keys as gossip sources, confirmed while the leader holds the lease.
 
     `poll_times` maps a key with a singleton task to the time (monotonic seconds) at which the task's last complete
-    round began: what the key publishes is no newer than that.
+    round began: the published state of the key is confirmed as of that time, no later.
     """
 
     def __init__(self, node: Node) -> None:
@@ -38,7 +38,7 @@
     def publish(self, leader: ShardLeader, changed_keys: Iterable[str]) -> None:
         """Publishes the shard's leader, and each published key that one of the changed keys belongs to."""
         if leader.ended:
-            return  # ended while the change was replicated; a node takes no updates of a source that it publishes
+            return  # ended while the change was replicated; a node accepts no updates of a source that it publishes
         source = f"{SHARD_SOURCE}{leader.shard}"
         self._node.state_table.publish(source, lambda: self.confirmed_at(leader))
         self._node.state_table.set_items(
@@ -60,7 +60,8 @@
     def confirmed_at(self, leader: ShardLeader) -> float | None:
         """The time (monotonic seconds) as of which the leader confirms its state; None without a lease.
 
-        The clock is read first: a process that was frozen after it checked the lease must not report a later time.
+        The clock is read before the lease is checked: if the process is frozen between the two, it must not report a
+        time after the check.
         """
         now = self._reactor.seconds()
         return now if leader.holds_lease() else None
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -1,8 +1,8 @@
 """Whether this control node is in contact with a majority of the voters, and for how long it has been.
 
-What a node knows of live members comes with its gossip requests. A process that has just started, was frozen or was
-partitioned has not heard of everybody yet. So nothing may be rejected because a member was silent, before the node has
-been in contact for longer than any member may stay silent.
+A node learns about live members from the answers to its gossip requests. A process that has just started, was frozen or
+was partitioned may not have heard of all members yet. So no request may be rejected because a member was silent, before
+the node has been in contact for longer than a live member may stay silent.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 class QuorumContact:
-    """How long this node has been in contact with a majority, by polls of who has answered its gossip requests.
+    """How long this node has been in contact with a majority, by polls of which voters answer its gossip requests.
 
-    Invariant: `_since` is None, or each poll since then found that a majority had answered lately, and no two polls
+    Invariant: `_since` is None, or each poll since then found that a majority had answered recently, and no two polls
     were further apart than CONTACT_GAP. Times are monotonic seconds of this process.
     """
 
@@ -33,7 +33,7 @@
         self._is_lost = True
 
     def poll(self, hears_majority: bool) -> None:
-        """Takes in whether a majority has answered lately."""
+        """Records whether a majority has answered recently."""
         now = self._reactor.seconds()
         if now - self._polled_at > CONTACT_GAP:
             self._since = None
@@ -61,11 +61,12 @@
         return now - self._since
 
     def knows_members(self) -> bool:
-        """Whether a member that was not heard of has truly been silent, as far as a majority can tell."""
+        """Whether contact has lasted for VIEW_AGE, so that a member that is not heard of has indeed been silent towards
+        a majority."""
         return self.seconds() >= VIEW_AGE
 
 
-async def answers_now(
+async def majority_answers(
     node: Node,
     voter_addresses: dict[str, str],
     voting_config: VotingConfiguration,
@@ -83,11 +84,11 @@
     async def ask(node_id: str, address: str) -> None:
         version = await node.net.call(address, "rosterVersion", wait_s, to=node_id)
         if version < least_version:
-            raise QuorumUnavailableError(f"{node_id} stands in version {version} yet")
+            raise QuorumUnavailableError(f"{node_id} still has voting configuration version {version}")
 
-    works = {node_id: ask(node_id, address) for node_id, address in voter_addresses.items()}
+    requests = {node_id: ask(node_id, address) for node_id, address in voter_addresses.items()}
     try:
-        reached, _ = await within(node.reactor, wait_s, quorum_of(works, voting_config.is_quorum))
+        reached, _ = await within(node.reactor, wait_s, quorum_of(requests, voting_config.is_quorum))
     except DeadlineExceededError:
         return False
     return reached
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -166,7 +166,7 @@
             self._due = self._node.reactor.seconds() + tick
             raise
         if not leader.ended:
-            self._owners.publisher.poll_times[REPLICAS_KEY] = now
+            self._leaders.publisher.poll_times[REPLICAS_KEY] = now
 
     async def _list(self):
         """The platform's rows, read by any node that reaches it; None if a quorum of voters cannot."""
@@ -182,7 +182,7 @@
         voting_config = self._voter.voting_config
         polls = {
             node_id: self._request_poll(address)
-            for node_id, address in self._owners.voter_addresses().items()
+            for node_id, address in self._leaders.voter_addresses().items()
             if node_id != self._node.node_id
         }
         reached, answers = await quorum_of(polls | {self._node.node_id: own}, lambda node_ids: len(node_ids) > 0)
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -27,7 +27,7 @@
 )
 from oakramp.common.errors import NotShardLeaderError, OakrampError, OutcomeUnknownError, QuorumUnavailableError
 from oakramp.common.tasks import spawn, within
-from oakramp.control.shards import ENTRY_COST, in_parts
+from oakramp.control.shards import ENTRY_OVERHEAD, in_parts
 from oakramp.rpc.codec import idl
 
 if TYPE_CHECKING:
@@ -151,7 +151,7 @@
 
 def _cost(key, value):
     """Upper bound of an entry's size in a message, in bytes."""
-    return len(key) + len(value or b"") + ENTRY_COST
+    return len(key) + len(value or b"") + ENTRY_OVERHEAD
 
 
 NO_SNAPSHOT = 0, 0  # (epoch, sequence); no append request can follow it
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -27,7 +27,7 @@
 from oakramp.control.call_trail import ANSWERED, CallTrail
 from oakramp.control.controllers import SHARD_SOURCE
 from oakramp.control.leader_changes import LeaderChangeWatch
-from oakramp.control.quorum_contact import answers_now
+from oakramp.control.quorum_contact import majority_answers
 from oakramp.control.shards import shard_of_key
 
 # Codes of errors that say nothing of the key: no answer came, or it came from who is no leader.
@@ -66,7 +66,7 @@
         """The answer to a call that has left for this address, entered in the trail."""
         asked_at = self._node.reactor.seconds()
         try:
-            answer = await self._moves.answer_of(shard, address, call)
+            answer = await self._moves.answer_unless_leader_changes(shard, address, call)
         except OakrampError as error:
             trail.note(address, asked_at, error.code)
             raise
@@ -178,7 +178,7 @@
         if voting_config is None:
             return False
         addresses = self._owners.voter_addresses()
-        return await answers_now(self._node, addresses, voting_config, wait_s=self._majority_wait(addresses))
+        return await majority_answers(self._node, addresses, voting_config, wait_s=self._majority_wait(addresses))
 
     def _majority_wait(self, voter_addresses):
         """Seconds until who has not answered counts as out of reach: twice what a majority took to answer its last
--- a/packages/control/oakramp/control/shard_hand_over.py
+++ b/packages/control/oakramp/control/shard_hand_over.py
@@ -1,7 +1,7 @@
-"""Gives a task's shard to a node that reaches the platform, where its leader does not.
+"""Hands the shard of a task over to a node that can reach the platform when the shard's leader can not.
 
-A leader's lease tells nothing of the way to the platform. Whether a node takes the shard over decides nothing about
-safety: it does so by the ordinary failover, which asks the leader to release it.
+A leader's lease says nothing about its connection to the platform. Safety does not depend on whether a node accepts the
+shard: it takes it over by an ordinary failover, which asks the leader to release it.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 
 class ShardHandOver:
-    """Offers this node's shards to other voters, and takes theirs if this node reaches the platform."""
+    """Offers this node's shards to other voters, and accepts theirs if this node can reach the platform."""
 
     def __init__(self, node: Node, leaders: LeaderRegistry) -> None:
         self._node = node
         self._leaders = leaders
-        node.net.handle("shardOffer", self._serve_take)
+        node.net.handle("shardOffer", self._serve_offer)
 
     @cached_property
     def _client(self) -> HttpClient:
-        """Imported and made with the first offer that comes."""
+        """The client that probes the platform; imported and created when the first offer is received."""
         from oakramp.common.http_client import HttpClient
 
         return HttpClient(self._node.reactor, self._node.env["http"].rpartition(":")[0])
 
     async def offer(self, shard: int) -> bool:
-        """Offers the shard to some live voters, one after another; whether one of them takes it over."""
+        """Offers the shard to at most FENCED_OFFERS live voters in turn; returns whether one of them accepted it."""
         addresses = self._leaders.voter_addresses()
         others = [node_id for node_id in self._leaders.failover.live_voters() if node_id != self._node.node_id]
         self._node.random.shuffle(others)
@@ -49,7 +49,7 @@
                 return True
         return False
 
-    async def _serve_take(self, _peer: Any, arguments: Any) -> bool:
+    async def _serve_offer(self, _peer: Any, arguments: Any) -> bool:
         failover = self._leaders.failover
         if self._node.node_id not in failover.live_voters():
             return False
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -173,10 +173,10 @@
         try:
             controller = CONTROLLERS.find(key.partition("/")[0])
             if command in controller.growing:
-                self._registry.refuse_full(self)
+                self._registry.reject_if_full(self)
             result = controller.run(nested, key, command, arguments)
             if command in controller.replacing:
-                self._registry.refuse_unfit(self, nested.changes())
+                self._registry.reject_if_not_installable(self, nested.changes())
         except OakrampError:
             raise
         except Exception as error:  # a crash of this command affects neither the others of its batch nor the leader
--- a/packages/control/oakramp/control/shards.py
+++ b/packages/control/oakramp/control/shards.py
@@ -1,4 +1,4 @@
-"""Shards of the control state: which one a key is in, how an entry is packed, and snapshots in chunks."""
+"""Shards of the control state: the shard of a key, the packing of entries, and the division of snapshots into parts."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from oakramp.common.validation import pack_json
 from oakramp.membership.rendezvous_hashing import shard_of
 
-ENTRY_COST = 64  # bytes; what an entry takes besides its key and value, in messages and on the disk, at most
-PACK_FROM = 4096  # bytes; below this an entry is not worth compressing
+ENTRY_OVERHEAD = 64  # bytes; upper bound of an entry's overhead beside its key and value, in messages and on the disk
+COMPRESS_FROM = 4096  # bytes; a smaller entry is not worth compressing
 
 
 def shard_of_key(key: str) -> int:
@@ -22,11 +22,11 @@
 
 
 def in_parts(entries: Iterable[tuple[str, bytes | None]], most: int) -> Iterator[list[tuple[str, bytes | None]]]:
-    """The (key, value) pairs in chunks of at most `most` bytes each, or of one pair; at least one chunk."""
+    """Divides the (key, value) pairs into parts of at most `most` bytes, or of one pair; yields at least one part."""
     part: list[tuple[str, bytes | None]] = []
     size = 0
     for key, value in entries:
-        length = len(key) + len(value or b"") + ENTRY_COST
+        length = len(key) + len(value or b"") + ENTRY_OVERHEAD
         if part and size + length > most:
             yield part
             part, size = [], 0
@@ -36,7 +36,7 @@
 
 
 def pack_entry(value: Any) -> bytes | None:
-    """A JSON value as it is stored: JSON behind the letter j, or compressed JSON behind z; None stays None.
+    """A JSON value as it is stored: JSON after the letter j, or compressed JSON after the letter z; None stays None.
 
     Raises:
         TooLargeError: the JSON is longer than ENTRY_LIMIT bytes.
@@ -45,8 +45,8 @@
         return None
     data = pack_json(value)
     if len(data) > ENTRY_LIMIT:
-        raise TooLargeError(f"{len(data)} bytes in one entry of the control state")
-    return b"z" + zlib.compress(data) if len(data) > PACK_FROM else b"j" + data
+        raise TooLargeError(f"an entry of the control state would have {len(data)} bytes")
+    return b"z" + zlib.compress(data) if len(data) > COMPRESS_FROM else b"j" + data
 
 
 def unpack_entry(data: bytes) -> Any:
--- a/packages/control/oakramp/control/singleton_task.py
+++ b/packages/control/oakramp/control/singleton_task.py
@@ -1,7 +1,7 @@
 """A periodic task that one node of the cluster runs at a time: the leader of a key's shard.
 
-It changes hands with the shard. What a previous leader still writes is fenced by the shard's epoch at the voters, or
-loses against a newer version.
+The task moves with the leadership of the shard. Writes of a previous leader are rejected by the voters because of their
+lower epoch, or are superseded by a newer version.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
     def __init__(self, node: Node, leaders: LeaderRegistry, key: str, pause: float) -> None:
         self._node = node
-        self._owners = leaders
+        self._leaders = leaders
         self._shard = shard_of_key(key)
         self._repeater = Repeater(node.reactor, pause, self._round, node.log)
 
     def start(self) -> None:
-        """Starts the rounds."""
+        """Starts the periodic rounds."""
         self._repeater.start()
 
     def stop(self) -> None:
@@ -35,7 +35,7 @@
         self._repeater.stop()
 
     async def _round(self) -> None:
-        leader = self._owners.active.get(self._shard)
+        leader = self._leaders.active.get(self._shard)
         if leader is not None:
             await self._work(leader)
 
--- a/packages/control/oakramp/control/transaction.py
+++ b/packages/control/oakramp/control/transaction.py
@@ -1,4 +1,4 @@
-"""What one batch of a leader's commands reads and changes."""
+"""Transactions: the reads and changes of one batch of a leader's commands."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Transaction:
-    """The committed entries of a shard under the uncommitted ones of its own batch.
+    """The committed entries of a shard, overlaid with the uncommitted changes of one batch.
 
     Values are JSON values; they are packed when they are put (`pack_entry`).
     """
@@ -32,7 +32,7 @@
         return None if value is None else unpack_entry(value)
 
     def packed(self, key: str) -> bytes | None:
-        """The value as it is stored, to pass it on or compare it as it is."""
+        """The value in its stored form, to pass it on or compare it without unpacking."""
         return self._layers.get(key)
 
     def put(self, key: str, value: Any) -> None:
@@ -44,22 +44,22 @@
         self._layers.maps[0][key] = pack_entry(value)
 
     def committed_keys(self, prefix: str) -> Iterator[str]:
-        """The keys with this prefix among the committed entries, in order; changes of this batch are not seen."""
+        """The keys with this prefix among the committed entries, in order; ignores changes of this batch."""
         return takewhile(lambda key: key.startswith(prefix), self._entries.irange(prefix))
 
     def keys(self, prefix: str) -> list[str]:
-        """The keys with this prefix in order, after all that this batch has changed so far."""
+        """The keys with this prefix in order, including the effect of all changes of this batch so far."""
         changed = {key for layer in self._layers.maps[:-1] for key in layer if key.startswith(prefix)}
         return [key for key in sorted(changed.union(self.committed_keys(prefix))) if self._layers[key] is not None]
 
     def nested(self) -> Transaction:
-        """A nested transaction for one command; unless it is merged, it leaves nothing behind."""
+        """A nested transaction for one command; its changes take effect only if it is merged."""
         transaction = Transaction(self._entries, self.context)
         transaction._layers = self._layers.new_child()
         return transaction
 
     def merge(self, transaction: Transaction) -> None:
-        """Takes the changes of a nested transaction over."""
+        """Applies the changes of a nested transaction to this one."""
         self._layers.maps[0].update(transaction._layers.maps[0])
 
     def changes(self) -> MutableMapping[str, bytes | None]:
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -15,7 +15,7 @@
 from oakramp.common.errors import StaleEpochError, StorageError, StorageFullError
 from oakramp.common.tasks import spawn
 from oakramp.common.validation import pack_json
-from oakramp.control.shards import ENTRY_COST, in_parts
+from oakramp.control.shards import ENTRY_OVERHEAD, in_parts
 from oakramp.control.voting_configuration import VotingConfiguration
 from oakramp.rpc.codec import idl, unpack
 
@@ -182,7 +182,7 @@
 
     def has_room(self, growth, size, entries):
         """Whether a second copy of a shard that grows to this size would still fit beside all live rows."""
-        return self._ring.live_bytes() + growth + size + entries * ENTRY_COST <= self._ring.capacity()
+        return self._ring.live_bytes() + growth + size + entries * ENTRY_OVERHEAD <= self._ring.capacity()
 
     def shard_limit(self):
         """The largest size of one shard in bytes."""
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -696,7 +696,7 @@
     CodeMutation(
         "a plan that grows a full state is refused",
         "control/oakramp/control/plan.py",
-        "    transaction.context.refuse_full()\n",
+        "    transaction.context.reject_if_full()\n",
         "",
         "test_blueprints.StorageFull.test_repeat_is_accepted_while_storage_is_full",
     ),
@@ -987,15 +987,15 @@
     CodeMutation(
         "a silent owner is left once another is known",
         "control/oakramp/control/leader_changes.py",
-        "if owner is not None and address != owner:",
+        "if leader_address is not None and address != leader_address:",
         "if False:",
         "test_failover.MovesTest.test_order_that_asked_a_silent_owner_is_done_soon",
     ),
     CodeMutation(
         "an answer on its way is waited for",
         "control/oakramp/control/leader_changes.py",
-        "self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._leave, shard, outcome))",
-        "self._reactor.callLater(0, partial(self._leave, shard, outcome))",
+        "self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._abandon, shard, outcome))",
+        "self._reactor.callLater(0, partial(self._abandon, shard, outcome))",
         "test_failover.MovesTest.test_answer_on_its_way_counts",
     ),
     CodeMutation(
