--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -167,7 +167,7 @@
         "control/oakramp/control/failover.py",
         "answering & self._asking_voters()",
         "answering",
-        "test_returning_leader.Returning.test_a_leader_that_no_majority_asks_gives_its_shards_up",
+        "test_returning_leader.Returning.test_a_leader_that_no_majority_can_reach_loses_its_shards",
     ),
     CodeMutation(
         "a gateway acts on no table that may lack a confirmed change",
@@ -888,7 +888,7 @@
         "control/oakramp/control/prepare_phase.py",
         "address = self._registry.voter_addresses().get(node_id)",
         "address = self._registry.voter_addresses()[node_id]",
-        "test_failover.PreparationTest.test_voter_that_leaves_while_its_snapshot_is_fetched",
+        "test_failover.PreparePhaseTest.test_fetching_a_snapshot_fails_if_its_voter_leaves",
     ),
     CodeMutation(
         "calls that name the node they are for",
@@ -933,70 +933,70 @@
         "control/oakramp/control/lease_expiry.py",
         "                shard in expired\n",
         "                False\n",
-        "test_failover.LapseTest.test_shards_are_taken_over_before_their_owner_counts_as_silent",
+        "test_failover.LeaseExpiryTest.test_failover_starts_before_the_leader_counts_as_dead",
     ),
     CodeMutation(
         "a lease has lapsed only by a majority's word",
         "control/oakramp/control/lease_expiry.py",
         "unconfirmed_s = await self._ask_majority(shards)",
         "unconfirmed_s = dict.fromkeys(shards, LEASE_EXPIRED)",
-        "test_failover.LapseTest.test_link_of_owner_to_one_voter",
+        "test_failover.LeaseExpiryTest.test_a_lost_link_between_leader_and_one_voter_starts_no_failover",
     ),
     CodeMutation(
         "whose lease has lapsed is passed over",
         "control/oakramp/control/failover.py",
         "if node_id not in suspects]",
         "if True]",
-        "test_failover.LapseTest.test_shards_are_taken_over_before_their_owner_counts_as_silent",
+        "test_failover.LeaseExpiryTest.test_failover_starts_before_the_leader_counts_as_dead",
     ),
     CodeMutation(
         "who answers is not passed over",
         "control/oakramp/control/lease_expiry.py",
         "if not self._answers(node_id)}",
         "if node_id}",
-        "test_failover.LapseTest.test_slow_take_overs_are_not_disturbed",
+        "test_failover.LeaseExpiryTest.test_slow_failovers_are_not_disturbed_by_other_candidates",
     ),
     CodeMutation(
         "who was frozen itself suspects nobody",
         "control/oakramp/control/lease_expiry.py",
         "if not shards or self._voter.has_storage_fault or not self._hears_majority():",
         "if not shards or self._voter.has_storage_fault:",
-        "test_failover.LapseTest.test_who_was_frozen_itself_suspects_nobody",
+        "test_failover.LeaseExpiryTest.test_a_process_that_was_frozen_itself_suspects_no_leader",
     ),
     CodeMutation(
         "who seeks a slot is not disturbed",
         "control/oakramp/control/voter.py",
         "since = max(since, self._promised_at.get(shard, since))",
         "pass",
-        "test_failover.LapseTest.test_who_takes_a_shard_over_is_not_disturbed",
+        "test_failover.LeaseExpiryTest.test_a_candidate_that_has_a_promise_is_not_disturbed",
     ),
     CodeMutation(
         "a lapsed lease is longer than a short freeze",
         "common/oakramp/common/constants.py",
         "LEASE_EXPIRED = 0.9",
         "LEASE_EXPIRED = 0.6",
-        "test_failover.LapseTest.test_freeze_of_half_a_second_takes_nothing_over",
+        "test_failover.LeaseExpiryTest.test_freeze_of_half_a_second_starts_no_failover",
     ),
     CodeMutation(
         "a suspected owner's lease is waited for",
         "control/oakramp/control/prepare_phase.py",
         "await self._previous.ended(self._prepared_at - unconfirmed_s + LEASE)",
         "pass",
-        "test_failover.LapseTest.test_wrong_suspicion_waits_for_the_lease",
+        "test_failover.LeaseExpiryTest.test_failover_of_a_live_leader_waits_for_its_lease",
     ),
     CodeMutation(
         "a silent owner is left once another is known",
         "control/oakramp/control/leader_changes.py",
         "if leader_address is not None and address != leader_address:",
         "if False:",
-        "test_failover.MovesTest.test_order_that_asked_a_silent_owner_is_done_soon",
+        "test_failover.LeaderChangeWatchTest.test_a_command_sent_to_a_silent_leader_completes_soon",
     ),
     CodeMutation(
         "an answer on its way is waited for",
         "control/oakramp/control/leader_changes.py",
         "self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._abandon, shard, outcome))",
         "self._reactor.callLater(0, partial(self._abandon, shard, outcome))",
-        "test_failover.MovesTest.test_answer_on_its_way_counts",
+        "test_failover.LeaderChangeWatchTest.test_an_answer_within_the_pause_counts",
     ),
     CodeMutation(
         "who stops says so before it stops",
@@ -1010,21 +1010,21 @@
         "control/oakramp/control/failover.py",
         "return position == (0 if late_s <= 0 else (1 + int(late_s / CANDIDATE_TURN_TIME)) % len(order))",
         "return position == 0",
-        "test_failover.LapseTest.test_first_choice_that_does_not_take_its_shard",
+        "test_failover.LeaseExpiryTest.test_one_other_node_steps_in_if_the_first_candidate_does_not",
     ),
     CodeMutation(
         "one candidate at a time",
         "control/oakramp/control/failover.py",
         "return position == (0 if late_s <= 0 else (1 + int(late_s / CANDIDATE_TURN_TIME)) % len(order))",
         "return position == 0 or late_s > 0",
-        "test_failover.LapseTest.test_first_choice_that_does_not_take_its_shard",
+        "test_failover.LeaseExpiryTest.test_one_other_node_steps_in_if_the_first_candidate_does_not",
     ),
     CodeMutation(
         "the first candidate's own turn",
         "control/oakramp/control/failover.py",
         "late_s = leaderless_s - CONDITION_AGE - CANDIDATE_TURN_TIME",
         "late_s = leaderless_s - CONDITION_AGE - LEASE",
-        "test_failover.LapseTest.test_first_choice_that_does_not_take_its_shard",
+        "test_failover.LeaseExpiryTest.test_one_other_node_steps_in_if_the_first_candidate_does_not",
     ),
     CodeMutation(
         "compare-and-set of plans",
@@ -1059,7 +1059,7 @@
         "control/oakramp/control/failover.py",
         " and not self._is_declined(shard)",
         "",
-        "test_confirmation.Release.test_released_shard_is_left_to_who_asked_for_it_for_a_lease",
+        "test_confirmation.Release.test_released_shard_is_left_to_its_requester_for_a_lease",
     ),
     CodeMutation(
         "a first term is asked for until voters have passed to the roster",
@@ -1067,8 +1067,8 @@
         "        while not leader.confirmed.called:\n",
         "        for _ in range(1):\n",
         (
-            "test_confirmation.Confirmation.test_lease_refused_by_voters_on_their_way_to_a_voting_config_is_a"
-            "sked_for_again"
+            "test_confirmation.Confirmation."
+            "test_first_lease_is_requested_again_while_voters_adopt_a_voting_configuration"
         ),
     ),
     CodeMutation(
@@ -1443,7 +1443,7 @@
         "control/oakramp/control/shard_client.py",
         "return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))",
         "return MAJORITY_WAIT_MOST",
-        "test_slow_majority.SlowMajority.test_who_is_cut_off_still_says_so_at_once",
+        "test_slow_majority.SlowMajority.test_a_partitioned_node_still_refuses_at_once",
     ),
     CodeMutation(
         "who knows no member asks one seed at a time",
@@ -1527,7 +1527,7 @@
         "control/oakramp/control/prepare_phase.py",
         "        for node_id in self._holders_with_ended_process():\n            self._previous.holds_none(node_id)",
         "        pass",
-        "test_failover.PreviousLeasesTest.test_another_process_in_the_holders_place_ends_it",
+        "test_failover.PreviousLeasesTest.test_another_process_at_the_holders_address_ends_the_wait",
     ),
     CodeMutation(
         "a voter that may hold a lease is waited for",
@@ -1541,14 +1541,14 @@
         "control/oakramp/control/failover.py",
         "if self._voter.promised_epoch(shard) > epoch:",
         "if False:",
-        "test_failover.OutbidTest.test_an_attempt_below_the_own_voters_promise_does_not_serve",
+        "test_failover.SupersededAttemptTest.test_an_attempt_below_the_own_voters_promise_does_not_serve",
     ),
     CodeMutation(
         "no promise is waited for once the voting configuration has changed",
         "control/oakramp/control/prepare_phase.py",
         "        self._voter.on_voting_config.add(end)",
         "        pass",
-        "test_failover.PreparationTest.test_no_promise_is_waited_for_once_the_voting_configuration_has_changed",
+        "test_failover.PreparePhaseTest.test_no_promise_is_waited_for_once_the_voting_configuration_has_changed",
     ),
     CodeMutation(
         "a request without a known key reaches no replica",
