--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1052,7 +1052,7 @@
         "control/oakramp/control/leader_registry.py",
         "if leader.size > self._voter.shard_limit():",
         "if False:",
-        "test_snapshots.Fleets.test_full_shard_says_no_early_and_stays_movable",
+        "test_snapshots.Fleets.test_a_full_shard_rejects_early_and_can_still_fail_over",
     ),
     CodeMutation(
         "a released slot is left to who asked for it",
@@ -1321,14 +1321,14 @@
         "control/oakramp/control/voter.py",
         "generation = max(table.newest_generation, table.generation) + 1",
         "generation = table.generation + 1",
-        "test_catching_up.TornImages.test_snapshots_sent_again_while_leftovers_are_removed",
+        "test_catching_up.InterruptedSnapshots.test_snapshots_sent_again_while_leftovers_are_removed",
     ),
     CodeMutation(
         "an idle voter that is behind is brought up to date",
         "control/oakramp/control/replication.py",
         "spawn(self._update_to(voter, voting_config_version, leader, progress.newest))",
         "pass",
-        "test_catching_up.QuietSystem.test_a_member_that_was_killed",
+        "test_catching_up.IdleSystem.test_a_member_that_was_killed",
     ),
     CodeMutation(
         "one update of a voter at a time",
@@ -1352,21 +1352,21 @@
             "        self.start_collecting()\n        for key, value in changes.items():\n"
             "            if key in self.missing:"
         ),
-        "test_catching_up.ManyChanges.test_members_in_trouble_among_many_changes",
+        "test_catching_up.ManyChanges.test_members_with_faults_catch_up_among_many_changes",
     ),
     CodeMutation(
         "a slot is taken over anew above a voter's later promise",
         "control/oakramp/control/replication.py",
         "self._on_epoch_superseded(shard, leader)",
         "pass",
-        "test_catching_up.QuietSystem.test_a_member_that_has_promised_a_later_epoch",
+        "test_catching_up.IdleSystem.test_a_member_that_has_promised_a_later_epoch",
     ),
     CodeMutation(
         "a step too long for one commit",
         "control/oakramp/control/voter.py",
         "            await self._install_snapshot(shard, table, snapshot, header)\n",
         "            raise\n",
-        "test_catching_up.TornImages.test_a_step_that_is_too_much_for_one_commit",
+        "test_catching_up.InterruptedSnapshots.test_a_change_too_large_for_one_commit_is_atomic",
     ),
     CodeMutation(
         "a route is made again only if it has changed",
@@ -1394,21 +1394,21 @@
         "control/oakramp/control/shard_leader.py",
         "if command in controller.replacing:",
         "if False:",
-        "test_catching_up.FullDisks.test_a_configuration_is_refused_before_its_snapshot_fits_no_more",
+        "test_catching_up.FullDisks.test_a_change_is_rejected_while_its_snapshot_still_fits",
     ),
     CodeMutation(
         "a merged step is taken wherever it covers",
         "control/oakramp/control/voter.py",
         "            or self._covers(table, request)\n",
         "",
-        "test_catching_up.Costs.test_flat_beyond_one_snapshot",
+        "test_catching_up.Costs.test_catching_up_costs_no_more_than_one_snapshot",
     ),
     CodeMutation(
         "a silent voter gets no steps that it would take in late",
         "control/oakramp/control/shard_replicator.py",
         "if append.change.leader.progress.is_stalled(node_id):",
         "if False:",
-        "test_catching_up.Costs.test_flat_beyond_one_snapshot",
+        "test_catching_up.Costs.test_catching_up_costs_no_more_than_one_snapshot",
     ),
     CodeMutation(
         "giving up at once",
