--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -190,7 +190,7 @@
         leader = self.active.get(shard)
         if leader is None:
             known = self.failover.known_leader(shard)
-            raise NotShardLeaderError(f"this node does not lead shard {shard}", detail=known and known.address)
+            raise NotShardLeaderError(f"shard {shard} is not led by this node", detail=known and known.address)
         return await leader.do(key, command, arguments)
 
     async def _serve_call(self, _peer: Any, arguments: Any) -> str:
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -84,7 +84,7 @@
     async def ask(node_id: str, address: str) -> None:
         version = await node.net.call(address, "rosterVersion", wait_s, to=node_id)
         if version < least_version:
-            raise QuorumUnavailableError(f"{node_id} still has voting configuration version {version}")
+            raise QuorumUnavailableError(f"{node_id} is still at version {version} of the voting configuration")
 
     requests = {node_id: ask(node_id, address) for node_id, address in voter_addresses.items()}
     try:
--- a/packages/control/oakramp/control/shards.py
+++ b/packages/control/oakramp/control/shards.py
@@ -45,7 +45,7 @@
         return None
     data = pack_json(value)
     if len(data) > ENTRY_LIMIT:
-        raise TooLargeError(f"an entry of the control state would have {len(data)} bytes")
+        raise TooLargeError(f"{len(data)} bytes are too many for one entry of the control state")
     return b"z" + zlib.compress(data) if len(data) > COMPRESS_FROM else b"j" + data
 
 
