--- a/packages/gateway/oakramp/gateway/prefix_placement.py
+++ b/packages/gateway/oakramp/gateway/prefix_placement.py
@@ -48,7 +48,7 @@
             self._plans = {}
             self._node.log.warning("eviction_plan_unreadable", error=repr(error))
 
-    def allowed(self, service, tenant):
+    def planned_replica_ids(self, service, tenant):
         """The ids of the replicas that this tenant's requests should go to, or None if any will do."""
         planned = self._plans.get(service, {}).get(tenant)
         if planned is None or self._is_off or self._node.state_table.age(PLACEMENT_KEY) > PLAN_AGE:
@@ -63,7 +63,7 @@
         if self._is_off or not cache_tokens:
             return
         self._counters.setdefault(service, TenantCounters()).note(prefix, program, is_late, cache_tokens)
-        planned = self.allowed(service, tenant_of(prefix))
+        planned = self.planned_replica_ids(service, tenant_of(prefix))
         if planned is not None:
             self._metrics.count("eviction_placed", to="planned" if replica_id in planned else "elsewhere")
 
--- a/packages/gateway/oakramp/gateway/programs.py
+++ b/packages/gateway/oakramp/gateway/programs.py
@@ -1,7 +1,7 @@
-"""Which turns begin a program, and how much of the load is turns that go on.
+"""Detects the first turn of a program, and measures how much of the load is follow-up turns.
 
-Under load a program that has not begun may be refused; one under way has cost runs already. Where programs have several
-turns, each one that begins brings more load than its first turn; the share of turns that go on tells how much.
+Under load a program that has not started may be refused; one in progress has already consumed runs. Where programs have
+several turns, each new program brings more load than its first turn; the share of follow-up turns tells how much.
 """
 
 from __future__ import annotations
@@ -25,46 +25,46 @@
 
 
 class Programs:
-    """Remembers the programs of which a turn was given to a replica by this gateway, the last PROGRAMS_KNOWN of them.
+    """Remembers the last PROGRAMS_KNOWN programs of which this gateway sent a turn to a replica.
 
-    A turn that names the one before it goes on, whichever gateway had that one. Elsewhere only memory can tell: a
-    program that comes over from another gateway is taken for a new one, until a turn of it was served here.
+    A turn that names its previous turn is a follow-up, whichever gateway served that one. Otherwise only this memory
+    can tell: a program that moves here from another gateway counts as new until a turn of it was served here.
     """
 
     def __init__(self) -> None:
-        self._homes: LRUCache[str, str] = LRUCache(PROGRAMS_KNOWN)  # program -> replica of its last turn
-        self._follow_up_share = 0.0  # of the turns that were given to replicas lately, those that went on
+        self._last_replica_ids: LRUCache[str, str] = LRUCache(PROGRAMS_KNOWN)  # program -> replica of its last turn
+        self._follow_up_share = 0.0  # share of follow-ups among the turns sent to replicas lately
 
-    def begins(self, request: ProxyRequest) -> bool:
-        """Whether this turn begins its program, as well as this gateway can tell."""
+    def is_first_turn(self, request: ProxyRequest) -> bool:
+        """Whether this is the first turn of its program, as far as this gateway knows."""
         if not request.program or request.previous_turn:
             return False
-        return request.program not in self._homes
+        return request.program not in self._last_replica_ids
 
-    def home(self, request: ProxyRequest) -> str | None:
-        """The id of the replica that had the program's last turn by way of this gateway, if there was one."""
-        return self._homes.get(request.program)
+    def last_replica_id(self, request: ProxyRequest) -> str | None:
+        """The id of the replica that this gateway sent the program's last turn to, if any."""
+        return self._last_replica_ids.get(request.program)
 
-    def note(self, request: ProxyRequest, replica_id: str) -> None:
-        """A turn of this program was given to this replica."""
+    def record_turn(self, request: ProxyRequest, replica_id: str) -> None:
+        """Records that a turn of this program was sent to this replica."""
         if not request.program:
             return
-        self._follow_up_share += FOLLOW_UP_STEP * ((not self.begins(request)) - self._follow_up_share)
-        self._homes[request.program] = replica_id
+        self._follow_up_share += FOLLOW_UP_STEP * ((not self.is_first_turn(request)) - self._follow_up_share)
+        self._last_replica_ids[request.program] = replica_id
 
     @property
-    def reserve(self) -> float:
-        """How much of the room that follow-up turns may need is kept for them: from 0, if programs have one turn each,
-        to 1."""
+    def reserved_share(self) -> float:
+        """Share of the capacity that follow-up turns may need which is reserved for them: from 0, if programs have one
+        turn each, to 1."""
         return min(1.0, self._follow_up_share / FOLLOW_UP_MOST)
 
-    def begin_share(self, priority: int) -> float:
-        """Share of a replica's slots that may be in use where a program of this class begins (0 is the most urgent)."""
-        whole = 1.0 + QUEUED_SHARE
-        return whole - self.reserve * (whole - BEGIN_SHARE * BEGIN_PRIORITY_STEP**priority)
+    def admission_threshold(self, priority: int) -> float:
+        """Share of a replica's slots below which it accepts new programs of this priority (0 is the most urgent)."""
+        full_share = 1.0 + QUEUED_SHARE
+        return full_share - self.reserved_share * (full_share - BEGIN_SHARE * BEGIN_PRIORITY_STEP**priority)
 
-    def patience(self, longest_s: float, target_s: float) -> float:
-        """Seconds for which a first turn waits for room. Where many turns follow, one that waits long would be late all
-        the same, and its caller had better be told at once."""
-        shortest_s = min(longest_s, BEGIN_PATIENCE_SHARE * target_s)
-        return longest_s - self.reserve * (longest_s - shortest_s)
+    def max_wait_s(self, normal_wait_s: float, target_s: float) -> float:
+        """Seconds for which a first turn waits for capacity. Where many turns follow, a program whose first turn waits
+        long would be late in any case, so its caller is refused early."""
+        min_wait_s = min(normal_wait_s, BEGIN_PATIENCE_SHARE * target_s)
+        return normal_wait_s - self.reserved_share * (normal_wait_s - min_wait_s)
--- a/packages/gateway/oakramp/gateway/proxy.py
+++ b/packages/gateway/oakramp/gateway/proxy.py
@@ -110,7 +110,7 @@
         if proxied_request.may_repeat and route.kind == "stream":
             proxied_request.last_event_id = request.resume_after  # the last event that the client has received
         if route.kind == "stream":
-            proxied_request.begins_program = self._programs.begins(request)
+            proxied_request.begins_program = self._programs.is_first_turn(request)
         if request.finish_s is not None:
             proxied_request.finish_at = exchange.received_at + request.finish_s
         proxied_request.affinity = (request.program or "") if route.pinned or route.kind == "stream" else ""
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -106,10 +106,10 @@
     def check_may_begin(self, proxied_request):
         """Rejects a program at its first turn, before it has used any resources, if no replica has capacity for another
         program and waiting would not help."""
-        if not proxied_request.begins_program or self._programs.reserve < 1.0:
+        if not proxied_request.begins_program or self._programs.reserved_share < 1.0:
             return
         service = self._choose_service(proxied_request)
-        self._balancer.check_may_begin(self._placement_request(proxied_request, service))
+        self._balancer.check_program_admission(self._placement_request(proxied_request, service))
 
     def _placement_request(self, proxied_request, service):
         now = self._reactor.seconds()
@@ -117,7 +117,7 @@
         slots = self._router.services[service].get("slots") or 1
         priority, begins_program = proxied_request.priority, proxied_request.begins_program
         if begins_program:
-            patience_s = self._programs.patience(patience_s, proxied_request.route.target_s)
+            patience_s = self._programs.max_wait_s(patience_s, proxied_request.route.target_s)
         return PlacementRequest(
             service,
             slots,
@@ -129,8 +129,8 @@
             frozenset(proxied_request.excluded),
             tenant_of(proxied_request.request.prefix),
             proxied_request.finish_at,
-            self._programs.begin_share(priority) if begins_program else None,
-            self._programs.home(proxied_request.request),
+            self._programs.admission_threshold(priority) if begins_program else None,
+            self._programs.last_replica_id(proxied_request.request),
             now + patience_s * PLACEMENT_PATIENCE,
         )
 
@@ -154,7 +154,7 @@
                 now = self._reactor.seconds()
                 proxied_request.record_stage(PLACED, now)
                 if proxied_request.route.kind == "stream":  # other calls of a program use other replicas
-                    self._programs.note(proxied_request.request, instance.row["id"])
+                    self._programs.record_turn(proxied_request.request, instance.row["id"])
                 proxied_request.replica_id, proxied_request.replica_load = instance.row["id"], instance.load(now)
                 return instance, service
             self._balancer.release(instance)
@@ -235,7 +235,7 @@
         gateway_max_connections = max(
             2, math.ceil(service_max_connections / max(1, self._node.members.live_count("gate")))
         )
-        sent = self._balancer.outliers.sent(instance)
+        sent = self._balancer.outliers.request_sent(instance)
         sending = begin(
             self._upstreams.send(
                 row["address"],
@@ -258,15 +258,15 @@
         try:
             with on_client_disconnect(exchange, cancel_sending):
                 response = await sending
-            self._balancer.outliers.answered(sent)
+            self._balancer.outliers.response_started(sent)
         except defer.CancelledError:
             verdict = Verdict.MAYBE if proxied_request.may_have_run else Verdict.NO
             raise ClientDisconnectedError("the client disconnected before the response arrived", verdict) from None
         finally:
-            self._balancer.outliers.ended(sent)
+            self._balancer.outliers.request_ended(sent)
         metadata = self._dialect.answer_of(response.status, response.headers)
         if metadata.load is not None:
-            self._balancer.told(instance, metadata.load)
+            self._balancer.record_load(instance, metadata.load)
         if metadata.not_run:
             proxied_request.may_have_run = False
             spawn(self._drain(response), self._log)
@@ -323,7 +323,7 @@
         if not proxied_request.may_repeat or proxied_request.attempts + 1 >= proxied_request.route.max_attempts:
             return time_left
         return min(
-            time_left, max(STALLED_TIMES * self._balancer.outliers.late_after(service), STALLED_SHARE * time_left)
+            time_left, max(STALLED_TIMES * self._balancer.outliers.late_threshold(service), STALLED_SHARE * time_left)
         )
 
     async def _drain(self, response):
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -62,7 +62,7 @@
         self.placement = PrefixPlacement(self.node, self.leaders, self.metrics, self._cache_tokens_of)
         self.balancer = Balancer(self.node, self.node.log, self.placement)
         self.upstreams = Upstreams(reactor, env["relay"].rpartition(":")[0], self.node.log)
-        self.balancer.on_gone = self.upstreams.close_instance
+        self.balancer.on_replica_removed = self.upstreams.close_instance
         turn_client = TurnClient(self.node)
         is_counting = "usage" in (env.get("platformTasks") or ())
         self.usage = UsageCounter(self, wall, bounds["usage_window_s"]) if is_counting else NullUsageCounter()
@@ -127,7 +127,7 @@
         return 200, self.node.condition() | {
             "condition": reason or "ready",
             "routing": self.router.version,
-            "replicas": self.balancer.shown(),
+            "replicas": self.balancer.ready_counts(),
             "waiting": self.balancer.waiting_count(),
             "running": self.front.running,
         }
--- a/packages/gateway/oakramp/gateway/replica_load.py
+++ b/packages/gateway/oakramp/gateway/replica_load.py
@@ -1,9 +1,9 @@
-"""How much load the replicas of a service have, as well as one gateway can tell.
+"""Estimates the load of a service's replicas from the reports that one gateway receives.
 
-A replica tells its load with each answer: the requests that it runs and those that wait there, of all gateways. Between
-two answers a gateway knows exactly what it has begun and ended there itself; what the others have there now is
-estimated. An answer's word on them fades with its age, and gives way to what replicas of the service told on average
-lately: a replica that was not asked for a while is taken for an ordinary one, not for an idle one.
+A replica reports its load with each response: the requests of all gateways that it runs or queues. Between two
+responses a gateway knows exactly which requests it has started and finished there itself; the requests of other
+gateways are estimated. A report loses weight as it ages, in favour of the mean that replicas of the service reported
+lately: a replica that was not used for a while is taken to have an average load, not to be idle.
 """
 
 from __future__ import annotations
@@ -15,74 +15,77 @@
 
 
 class ServiceLoad:
-    """The load of other gateways on one replica of a service, on average over what its replicas told lately.
+    """The mean load that other gateways put on a replica of a service, from recent reports.
 
-    Each telling moves the average towards it by LOAD_MEAN_STEP. Without any it falls, to 0 after LOAD_MEAN_AGE seconds:
-    what nobody tells of is not taken for load.
+    An exponential moving average: each report moves it by LOAD_MEAN_STEP of the difference. Without reports it falls
+    linearly to 0 after LOAD_MEAN_AGE seconds: load that no replica reports is not assumed.
     """
 
     def __init__(self) -> None:
         self._mean = 0.0  # requests
-        self._told_at = float("-inf")  # monotonic seconds
+        self._reported_at = float("-inf")  # monotonic seconds
 
-    def note(self, requests: float, now: float) -> None:
-        """Takes in what a replica told: so many requests of other gateways."""
+    def add_sample(self, requests: float, now: float) -> None:
+        """Adds the number of requests of other gateways that a replica reported."""
         mean = self.mean(now)
         self._mean = mean + LOAD_MEAN_STEP * (requests - mean)
-        self._told_at = now
+        self._reported_at = now
 
     def mean(self, now: float) -> float:
-        """Requests of other gateways on a replica of the service."""
-        return self._mean * max(0.0, 1.0 - (now - self._told_at) / LOAD_MEAN_AGE)
+        """The mean number of requests of other gateways on a replica of the service."""
+        return self._mean * max(0.0, 1.0 - (now - self._reported_at) / LOAD_MEAN_AGE)
 
 
 @dataclass
 class Instance:
-    """One life of a replica as this gateway sees it. Invariants: `own` counts this gateway's requests between acquire
-    and release; `told` is the load of the newest answer, which came at `told_at` when `own_then` were ours;
+    """One incarnation of a replica as this gateway sees it.
+
+    Invariants: `in_flight` counts this gateway's requests between acquire and release; `reported_load` is the load in
+    the newest response, which came at `reported_at` when `in_flight_at_report` of it were this gateway's;
     `service_load` is the same object for all replicas of the service."""
 
     row: dict[str, Any]
     service_load: ServiceLoad
-    own: int = 0
-    told: int = 0
-    told_slots: int = 0
-    told_at: float = float("-inf")
-    own_then: int = 0
+    in_flight: int = 0
+    reported_load: int = 0
+    reported_slots: int = 0
+    reported_at: float = float("-inf")
+    in_flight_at_report: int = 0
     failures: int = 0
-    closed_until: float = float("-inf")
+    unavailable_until: float = float("-inf")
 
     @property
     def is_ready(self) -> bool:
-        """Whether the platform's list has it as taking requests."""
+        """Whether the platform lists the replica as accepting requests."""
         return self.row["state"] == "ready"
 
     def slots(self, default: int) -> int:
-        """Requests that it works on at once, by its own word or the list's."""
-        return self.told_slots or self.row.get("slots") or default
+        """Number of requests that it runs concurrently, as reported by the replica or else as listed."""
+        return self.reported_slots or self.row.get("slots") or default
 
     def _freshness(self, now: float) -> float:
-        return max(0.0, 1.0 - (now - self.told_at) / LOAD_AGE)
+        return max(0.0, 1.0 - (now - self.reported_at) / LOAD_AGE)
 
-    def least_load(self, now: float) -> float:
-        """Requests that the replica surely has: this gateway's, and what it told of the others', as far as that still
-        holds. Whoever waits for room goes by this, so that no replica stands idle for want of news of it."""
-        return self.own + self._freshness(now) * max(0, self.told - self.own_then)
+    def known_load(self, now: float) -> float:
+        """Lower bound of the replica's requests: this gateway's, and those reported of other gateways, weighted by the
+        report's freshness. Waiting requests are assigned by this bound, so that no replica stays idle for lack of a
+        recent report."""
+        return self.in_flight + self._freshness(now) * max(0, self.reported_load - self.in_flight_at_report)
 
     def load(self, now: float) -> float:
-        """Requests that the replica probably has, running and waiting. One that has told nothing yet may be new, and is
-        taken for idle."""
-        if not self.told_slots:
-            return self.least_load(now)
-        return self.least_load(now) + (1.0 - self._freshness(now)) * self.service_load.mean(now)
-
-    def room(self, default: int) -> float:
-        """Requests that it may be given: its slots, and some that wait there, so that none stands idle meanwhile."""
+        """Estimate of the replica's requests, running and waiting. A replica that has not reported yet may be new, and
+        is assumed to be idle."""
+        if not self.reported_slots:
+            return self.known_load(now)
+        return self.known_load(now) + (1.0 - self._freshness(now)) * self.service_load.mean(now)
+
+    def capacity(self, default: int) -> float:
+        """Number of requests that it may be given: its slots, and a few queued requests so that no slot stays idle."""
         return self.slots(default) * (1 + QUEUED_SHARE)
 
-    def tell(self, running: int, waiting: int, slots: int, now: float) -> None:
-        """Takes in the load that came with an answer, the answered request among it."""
-        self.told, self.told_slots = running + waiting, slots
-        self.told_at, self.own_then = now, self.own
-        others = max(0, self.told - self.own_then)
-        self.service_load.note(min(others, LOAD_TOLD_MOST * slots), now)
+    def record_report(self, running: int, waiting: int, slots: int, now: float) -> None:
+        """Records the load reported with a response, including the answered request."""
+        self.reported_load, self.reported_slots = running + waiting, slots
+        self.reported_at, self.in_flight_at_report = now, self.in_flight
+        other_gateways = max(0, self.reported_load - self.in_flight_at_report)
+        self.service_load.add_sample(min(other_gateways, LOAD_TOLD_MOST * slots), now)
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -18,14 +18,14 @@
     CodeMutation(
         "programs begin only where there is room for their next turns",
         "gateway/oakramp/gateway/balancer.py",
-        "if placement_request.begin_share is not None and instance.told_slots:",
+        "if placement_request.admission_threshold is not None and instance.reported_slots:",
         "if False:",
         "test_balancer.Beginning.test_it_is_refused_where_no_replica_has_so_much_room",
     ),
     CodeMutation(
         "a program keeps to the replica of its last turn",
         "gateway/oakramp/gateway/balancer.py",
-        'if home is not None and shares[home.row["id"]] <= least + HOME_SLACK:',
+        'if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + HOME_SLACK:',
         "if False:",
         "test_balancer.Home.test_it_goes_there_though_others_have_more_room",
     ),
@@ -46,8 +46,8 @@
     CodeMutation(
         "a load that nobody told lately is the mean of its service",
         "gateway/oakramp/gateway/replica_load.py",
-        "return self.least_load(now) + (1.0 - self._freshness(now)) * self.service_load.mean(now)",
-        "return self.least_load(now)",
+        "return self.known_load(now) + (1.0 - self._freshness(now)) * self.service_load.mean(now)",
+        "return self.known_load(now)",
         "test_replica_load.Loads.test_an_old_word_gives_way_to_the_mean_of_the_service",
     ),
     CodeMutation(
@@ -1959,8 +1959,9 @@
     CodeMutation(
         "programs that may not begin are demand",
         "gateway/oakramp/gateway/balancer.py",
-        "            self._refused[placement_request.service] += 1\n            raise _no_room(placement_request)\n",
-        "            raise _no_room(placement_request)\n",
+        "            self._refused[placement_request.service] += 1\n"
+        "            raise _no_capacity_error(placement_request)\n",
+        "            raise _no_capacity_error(placement_request)\n",
         "test_balancer.Demand.test_programs_that_may_not_begin_are_demand_too",
     ),
     CodeMutation(
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -217,7 +217,7 @@
         def first():
             answer.wait = self.reactor.seconds() - answer.at
             gate.placement.note(SERVICE, name, prefix, program, answer.wait > self.scene.wait)
-            gate.balancer.told(instance, self.engines[name].load())
+            gate.balancer.record_load(instance, self.engines[name].load())
 
         job = Job(prefix, group.out, first, lambda: ended.waiter())
         await _until_ended(self.engines[name], job, ended)
@@ -312,12 +312,12 @@
             now = site.reactor.seconds()
             roomy = [
                 one
-                for one in balancer.known(placement_request.service)
-                if one.load(now) < one.room(placement_request.default_slots)
+                for one in balancer.ready_replicas(placement_request.service)
+                if one.load(now) < one.capacity(placement_request.default_slots)
             ]
             return roomy[next(turns) % len(roomy)] if roomy else None
 
-        gate.balancer._choose = choose
+        gate.balancer._select_replica = choose
 
 
 @POLICIES.enter("least load")
@@ -341,12 +341,12 @@
             now = site.reactor.seconds()
             roomy = [
                 one
-                for one in balancer.known(placement_request.service)
-                if one.load(now) < one.room(placement_request.default_slots)
+                for one in balancer.ready_replicas(placement_request.service)
+                if one.load(now) < one.capacity(placement_request.default_slots)
             ]
             return max(roomy, key=lambda one: score(one.row["id"], placement_request.tenant), default=None)
 
-        gate.balancer._choose = choose
+        gate.balancer._select_replica = choose
 
 
 @POLICIES.enter("offline bound")
@@ -368,7 +368,7 @@
         loads, {name for name in loads if name.startswith(crowd)}, sorted(site.rows), site.scene.kind.cache_tokens, {}
     )
     for gate in site.gates:
-        gate.placement.allowed = lambda _service, tenant: plan.get(tenant)
+        gate.placement.planned_replica_ids = lambda _service, tenant: plan.get(tenant)
 
 
 # --- figures -----------------------------------------------------------------
--- a/packages/testbed/oakramp/testbed/rush.py
+++ b/packages/testbed/oakramp/testbed/rush.py
@@ -194,10 +194,10 @@
 async def _serve_by_gateway(site: Site, gateway: Any, program: Program, parts: tuple, turn: int, admits: bool) -> None:
     now = site.reactor.seconds()
     request = ProxyRequest(program=program.name, previous_turn=f"{turn - 1}" if turn else None)
-    begins = admits and gateway.programs.begins(request)
+    begins = admits and gateway.programs.is_first_turn(request)
     patience_s = TURN_TIME_S * PATIENCE_SHARE
     if begins:
-        patience_s = gateway.programs.patience(patience_s, TARGET_S)
+        patience_s = gateway.programs.max_wait_s(patience_s, TARGET_S)
     placement_request = PlacementRequest(
         SERVICE,
         ENGINE.berths,
@@ -205,17 +205,17 @@
         now + patience_s,
         program.name,
         finish_at=program.began_at + program.aim_s,
-        begin_share=gateway.programs.begin_share(0) if begins else None,
-        home=gateway.programs.home(request),
-        keep_until=now + patience_s * PLACEMENT_PATIENCE,
+        admission_threshold=gateway.programs.admission_threshold(0) if begins else None,
+        last_replica_id=gateway.programs.last_replica_id(request),
+        prefer_planned_until=now + patience_s * PLACEMENT_PATIENCE,
     )
-    if begins and gateway.programs.reserve >= 1.0:
-        gateway.balancer.check_may_begin(placement_request)
+    if begins and gateway.programs.reserved_share >= 1.0:
+        gateway.balancer.check_program_admission(placement_request)
     instance = await gateway.balancer.acquire(placement_request)
     name = instance.row["id"]
-    gateway.programs.note(request, name)
+    gateway.programs.record_turn(request, name)
     try:
-        await site.run_at(name, parts, lambda: gateway.balancer.told(instance, site.engines[name].load()))
+        await site.run_at(name, parts, lambda: gateway.balancer.record_load(instance, site.engines[name].load()))
     finally:
         gateway.balancer.release(instance)
 
