--- a/packages/gateway/oakramp/gateway/base.py
+++ b/packages/gateway/oakramp/gateway/base.py
@@ -1,4 +1,4 @@
-"""What every gate has: its node, its way to the owners of keys, and what goes on after a caller has its answer."""
+"""The base of every gate: its node, the client of the keys' owners, and the work that continues after a response."""
 
 import itertools
 
@@ -9,12 +9,15 @@
 from oakramp.control.shard_client import ShardClient
 from oakramp.gossip.node import Node
 
-SETTLED_POLL = 0.1  # s; how often a stopping gate looks whether everything is settled
+SETTLED_POLL = 0.1  # s; how often a stopping gate checks whether everything is settled
 
 
 class GateBase:
-    """Invariant: `settling` holds every settling that is not confirmed yet, each tried until it is; at SETTLE_INBOX of
-    them nothing more is admitted. A planned stop waits for them a while; what is open then, its owner gives up."""
+    """A gate's node and its background work.
+
+    Invariant: `settling` holds every settlement that is not confirmed yet, each retried until it is; at
+    SETTLE_QUEUE_LIMIT of them nothing more is admitted. A planned stop waits for them for a while; the owners give up
+    those that are still open then."""
 
     def __init__(self, reactor, env, random, sink, wall):
         self.node = Node(reactor, "gate", env, random, sink, None, wall)
@@ -27,16 +30,16 @@
         return f"{self.node.random.getrandbits(128):032x}"
 
     def admission(self):
-        """A new admission: its id, and the number by which it is told from this gate's earlier and later ones."""
+        """A new admission: its id, and a number that tells it from this gate's earlier and later ones."""
         return {"admission": self.mint_id(), "gate": self.node.node_id, "number": next(self._numbers)}
 
     def check_settling(self):
         if len(self.settling) >= SETTLE_QUEUE_LIMIT:
-            raise OverloadedError("too much waits to be settled", retry_after=RETRY_AFTER)
+            raise OverloadedError("too many settlements are pending", retry_after=RETRY_AFTER)
 
     def background(self, coroutine):
-        """Goes on after the caller has its answer; gives a Deferred that others may wait for: of the result, or
-        of None if it failed."""
+        """Runs a coroutine that may outlive the caller's request. Returns a Deferred of its result, or of None if it
+        failed."""
         task = spawn(coroutine, self.node.log)
         self.settling.add(task)
 
@@ -47,7 +50,7 @@
         return task.addBoth(ended)
 
     async def wait_settled(self, seconds):
-        """Returns once everything is settled, or after so many seconds."""
+        """Returns once everything is settled, or after the given number of seconds."""
         ends_at = self.node.reactor.seconds() + seconds
         while self.settling and self.node.reactor.seconds() < ends_at:
             await sleep(self.node.reactor, SETTLED_POLL)
--- a/packages/gateway/oakramp/gateway/bindings.py
+++ b/packages/gateway/oakramp/gateway/bindings.py
@@ -1,4 +1,4 @@
-"""What a gate knows of blueprints and replicas, and how old that is."""
+"""A gate's view of blueprints and replicas, and the age of that view."""
 
 import json
 
@@ -12,8 +12,10 @@
 
 
 class Bindings:
-    """Reads the board's images. Invariant: nothing it gives out was replaced longer ago than the caller's
-    age check allows; the items are parsed once for each version of theirs."""
+    """Reads the snapshots of the state table.
+
+    Invariant: nothing that it returns was replaced longer ago than the caller's age check allows; each item is parsed
+    once per version."""
 
     def __init__(self, node):
         self._node, self._state_table = node, node.state_table
@@ -28,20 +30,20 @@
             self._parsed[source, name, version] = json.loads(value)
         return self._parsed[source, name, version]
 
-    def _rest(self, partner):
+    def _partner_settings(self, partner):
         return self._item(f"blueprint/{partner}", "rest")
 
     def share(self, partner):
-        return (self._rest(partner) or {}).get("share", 1)
+        return (self._partner_settings(partner) or {}).get("share", 1)
 
-    def _must_be_known(self, partner):
-        if self._rest(partner) is None:
+    def _check_partner_exists(self, partner):
+        if self._partner_settings(partner) is None:
             raise NotFoundError(f"no partner {partner}")
 
     def find(self, partner, name, kind):
         binding = self._item(f"blueprint/{partner}", f"binding/{name}")
         if binding is None:
-            self._must_be_known(partner)
+            self._check_partner_exists(partner)
             raise NotFoundError(f"no binding {name}")
         if binding["kind"] != kind:
             raise BadRequestError(f"binding {name} is for {binding['kind']} requests")
@@ -55,38 +57,40 @@
     # --- ages ---
 
     def staleness(self, partner):
-        """Why a request of this partner may not be carried now, or None."""
+        """The reason why a request of this partner may not be forwarded now, or None."""
         if gossiped_plan(self._state_table, partner)[0] > BLUEPRINT_AGE:
             return "the blueprint's news is too old"
         if self._state_table.age(REPLICAS_KEY) > REPLICA_AGE:
             return "the replicas' news is too old"
         return None
 
-    async def wait_fresh(self, partner, ends_at):
-        """Returns once the news is new enough; refuses with no when the time left is spent first."""
-        await self._wait_while(lambda: self.staleness(partner), ends_at)
+    async def wait_until_fresh(self, partner, ends_at):
+        """Returns once the state is recent enough; raises with the verdict NO if `ends_at` passes first."""
+        await self._wait_until_clear(lambda: self.staleness(partner), ends_at)
 
-    async def find_surely(self, partner, name, kind, asked_at, ends_at):
-        """The binding by news that is new enough. That there is none is said only by news that were confirmed after the
-        request came at `asked_at`, on this node's clock: it may be of a plan that has just been taken."""
-        await self.wait_fresh(partner, ends_at)
+    async def find_confirmed(self, partner, name, kind, received_at, ends_at):
+        """The binding, from state that is recent enough. A missing binding is reported only from state that was
+        confirmed after the request arrived at `received_at` (this node's clock), because the binding may belong to a
+        plan that has just been accepted."""
+        await self.wait_until_fresh(partner, ends_at)
         try:
             return self.find(partner, name, kind)
         except RequestRejectedError:
-            await self._wait_while(lambda: self._unconfirmed_since(partner, asked_at), ends_at)
+            await self._wait_until_clear(lambda: self._missing_confirmation(partner, received_at), ends_at)
         return self.find(partner, name, kind)
 
-    def _unconfirmed_since(self, partner, asked_at):
+    def _missing_confirmation(self, partner, received_at):
         confirmed_at = self._node.reactor.seconds() - gossiped_plan(self._state_table, partner)[0]
-        return None if confirmed_at >= asked_at else "no news have come since it was asked"
+        return None if confirmed_at >= received_at else "the state has not been confirmed since the request arrived"
 
-    async def _wait_while(self, obstacle, ends_at):
-        """Returns once `obstacle()` gives None; its word is why the request is refused when the time is over first."""
-        reactor, asked = self._node.reactor, False
-        while (why := obstacle()) is not None:
+    async def _wait_until_clear(self, find_obstacle, ends_at):
+        """Returns once `find_obstacle()` returns None; if `ends_at` passes first, its result is the reason of the
+        error."""
+        reactor, has_pulled = self._node.reactor, False
+        while (reason := find_obstacle()) is not None:
             if reactor.seconds() >= ends_at:
-                raise QuorumUnavailableError(f"{why}, so the request was not carried", retry_after=1)
-            if not asked:
-                asked = True
+                raise QuorumUnavailableError(f"{reason}, so the request was not forwarded", retry_after=1)
+            if not has_pulled:
+                has_pulled = True
                 spawn(self._node.gossip_client.pull_now(), self._node.log)
             await sleep(reactor, FRESH_POLL)
--- a/packages/gateway/oakramp/gateway/daemon.py
+++ b/packages/gateway/oakramp/gateway/daemon.py
@@ -9,6 +9,6 @@
     run_daemon(
         "oakramp-gateway",
         COMMON_SETTINGS,
-        "A gate of oakramp: takes callers' requests and carries them to replicas.",
+        "A gate of oakramp: accepts callers' requests and forwards them to replicas.",
         GateNode,
     )
--- a/packages/gateway/oakramp/gateway/forwarding.py
+++ b/packages/gateway/oakramp/gateway/forwarding.py
@@ -68,7 +68,7 @@
         Changes that arrived during the wait are checked before the replica is returned."""
         while True:
             binding = self._current_binding(request)
-            request.bound(binding)
+            request.bind(binding)
             request.remaining(self._node.reactor.seconds())
             try:
                 replica = await self._placer.place(
@@ -88,7 +88,7 @@
                 continue
             placed_at = self._node.reactor.seconds()
             try:
-                await self._bindings.wait_fresh(request.partner, request.wait_until)
+                await self._bindings.wait_until_fresh(request.partner, request.wait_until)
                 if request.call.is_gone:
                     raise DeadlineExceededError("the client disconnected")
                 current = self._current_binding(request)
@@ -109,7 +109,7 @@
         if self._current_binding(request) != request.binding:
             raise OverloadedError("the binding was replaced before the request was sent", retry_after=1)
         request.remaining(self._node.reactor.seconds())
-        request.left = True
+        request.is_sent = True
 
 
 def _keep_ambiguous(ambiguous_error, error):
--- a/packages/gateway/oakramp/gateway/fresh_state.py
+++ b/packages/gateway/oakramp/gateway/fresh_state.py
@@ -1,4 +1,4 @@
-"""Requests that came before the news that they need."""
+"""Holds requests until the state that they need is recent enough."""
 
 from twisted.internet import defer
 
@@ -6,24 +6,25 @@
 
 
 class FreshStateWaiter:
-    """Requests that came while the news may not be acted on, as after an outage of all: they wait a while, and nothing
-    of them has run. Meanwhile the news are pulled sooner than in their turn. Invariant: while any wait, a look is
-    set."""
+    """Holds requests that arrive while the gossiped state is too old to act on, as after a full outage.
+
+    They wait for a limited time, and nothing of them has run. Meanwhile the state is pulled sooner than scheduled.
+    Invariant: while any request waits, a poll is scheduled."""
 
     def __init__(self, reactor, staleness, pull):
         self._reactor, self._staleness, self._pull, self._waiting = reactor, staleness, pull, []
         self._pulled_at = float("-inf")
 
     async def wait(self, until):
-        """Why the news may still not be acted on at this time, or None as soon as they may."""
-        while (why := self._staleness()) is not None and self._reactor.seconds() < until:
+        """Waits until the state is recent enough and returns None, or returns the reason why it is not at `until`."""
+        while (reason := self._staleness()) is not None and self._reactor.seconds() < until:
             if not self._waiting:
                 self._reactor.callLater(FRESH_POLL, self._poll)
-                self._pull_soon()
+                self._pull_if_due()
             waiter = defer.Deferred()
             self._waiting.append((until, waiter))
             await waiter
-        return why
+        return reason
 
     def _poll(self):
         is_fresh, now = self._staleness() is None, self._reactor.seconds()
@@ -31,11 +32,11 @@
         self._waiting = [] if is_fresh else [entry for entry in self._waiting if entry[0] > now]
         if self._waiting:
             self._reactor.callLater(FRESH_POLL, self._poll)
-            self._pull_soon()
+            self._pull_if_due()
         for waiter in woken:
             waiter.callback(None)
 
-    def _pull_soon(self):
+    def _pull_if_due(self):
         if self._reactor.seconds() - self._pulled_at >= FRESH_PULL:
             self._pulled_at = self._reactor.seconds()
             self._pull()
--- a/packages/gateway/oakramp/gateway/gateway_node.py
+++ b/packages/gateway/oakramp/gateway/gateway_node.py
@@ -1,4 +1,4 @@
-"""A gate put together: callers' HTTP in front, filters behind it, no disk."""
+"""Assembles a gate: the HTTP server for callers and the request filters; it has no disk."""
 
 import time
 
@@ -19,10 +19,10 @@
     def __init__(self, reactor, env, _disk, random, sink, wall=time.time):
         super().__init__(reactor, env, random, sink, wall)
         self.web_client = HttpClient(reactor, env["http"].rpartition(":")[0])
-        self.lines = ConversationClient(self.node)
+        self.conversations = ConversationClient(self.node)
         self.bindings = Bindings(self.node)
-        self.placer = LoadBalancer(self.node, self.bindings, self.web_client, self.metrics)
-        self.carrier = Forwarder(self.node, self.bindings, self.placer, self.web_client, self.metrics)
+        self.load_balancer = LoadBalancer(self.node, self.bindings, self.web_client, self.metrics)
+        self.forwarder = Forwarder(self.node, self.bindings, self.load_balancer, self.web_client, self.metrics)
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         turns, plain = Turns(self), PlainCalls(self)
         for method, path, handler in (
@@ -35,20 +35,20 @@
         ):
             self.web.route(method, path, handler)
         serve_metrics(self.web, self.metrics)
-        for name, ask in (
+        for name, read_value in (
             ("requests_running", lambda: self.web.running),
-            ("requests_waiting", self.placer.waiting_count),
+            ("requests_waiting", self.load_balancer.waiting_count),
             ("settling", lambda: len(self.settling)),
             ("members_live", lambda: len(self.node.members.live())),
         ):
-            self.metrics.gauge(name, ask)
-        self.lines.calls.show(self.metrics)
+            self.metrics.gauge(name, read_value)
+        self.conversations.calls.show(self.metrics)
 
     async def _condition(self, _call):
         partners = sorted(
             source.partition("/")[2] for source in self.node.state_table.snapshots if source.startswith("blueprint/")
         )
-        stale = {partner: why for partner in partners if (why := self.bindings.staleness(partner))}
+        stale = {partner: reason for partner in partners if (reason := self.bindings.staleness(partner))}
         ready = bool(partners) and not stale and not self.web.stopping
         return 200, self.node.condition() | {
             "condition": "ready" if ready else "waiting",
@@ -64,12 +64,12 @@
 
     def start(self):
         self.node.start()
-        self.placer.start()
+        self.load_balancer.start()
         self.web.listen()
 
     async def stop(self):
         await self.node.gossip_client.say_leaving()
         await self.web.stop()
         await self.wait_settled(SETTLE_TIME)
-        self.placer.stop()
+        self.load_balancer.stop()
         await self.node.stop()
--- a/packages/gateway/oakramp/gateway/plain.py
+++ b/packages/gateway/oakramp/gateway/plain.py
@@ -1,4 +1,4 @@
-"""The filters of a plain service call: bind, claim, then place and carry."""
+"""The filter chain of a plain service call: bind, claim its idempotency key, then place and forward."""
 
 import json
 
@@ -15,7 +15,7 @@
     Verdict,
 )
 from oakramp.common.validation import NAME, check_fields, pack_json, seconds
-from oakramp.gateway.request import Request, chain, print_of
+from oakramp.gateway.request import Request, chain, fingerprint_of
 
 PLAIN = {
     Optional("key"): Or(None, NAME, error="must be a name"),
@@ -28,7 +28,7 @@
 class PlainCalls:
     def __init__(self, gate):
         self._gate, self._node, self._reactor = gate, gate.node, gate.node.reactor
-        self._bindings, self._owners, self._carrier = gate.bindings, gate.leaders, gate.carrier
+        self._bindings, self._owners, self._forwarder = gate.bindings, gate.leaders, gate.forwarder
         self._run = chain([self._bind, self._claim], self._forward)
 
     async def post(self, call):
@@ -52,78 +52,79 @@
         self._gate.metrics.count("plain", outcome="done")
         return 200, answer
 
-    async def _bind(self, request, onward):
+    async def _bind(self, request, next_step):
         ends_at = self._reactor.seconds() + CALL_TIME
-        request.bound(
-            await self._bindings.find_surely(
-                request.partner, request.binding_name, request.kind, request.asked_at, ends_at
+        request.bind(
+            await self._bindings.find_confirmed(
+                request.partner, request.binding_name, request.kind, request.received_at, ends_at
             )
         )
-        if not self._gate.placer.has_queue_room(request.partner, request.binding["pool"]):
-            raise OverloadedError("too many requests wait for a replica", retry_after=1)
-        return await onward(request)
+        if not self._gate.load_balancer.has_queue_space(request.partner, request.binding["pool"]):
+            raise OverloadedError("too many requests are waiting for a replica", retry_after=1)
+        return await next_step(request)
 
-    async def _claim(self, request, onward):
-        """A keyed call is claimed on a majority of disks before it may leave, and its answer kept after."""
+    async def _claim(self, request, next_step):
+        """Claims the key of a keyed call on a majority of disks before the call may be sent, and stores its answer
+        after."""
         key = request.body["key"]
         if key is None:
-            return {"answer": await onward(request)}
+            return {"answer": await next_step(request)}
         self._gate.check_settling()
         claim_key = f"claim/{request.partner}/{key}"
-        pairs = request.admission | {"print": print_of([request.binding_name, request.body["body"]])}
+        arguments = request.admission | {"print": fingerprint_of([request.binding_name, request.body["body"]])}
 
-        def later(command, **more):
-            self._gate.background(self._owners.call_until_done(claim_key, command, pairs | more))
+        def send_later(command, **more):
+            self._gate.background(self._owners.call_until_done(claim_key, command, arguments | more))
 
-        # The owner counts from when it hears of the claim, so this is the earlier of the two.
-        request.leave_by = self._reactor.seconds() + CLAIM_LEAVE
+        # The owner counts from the arrival of the claim, so this deadline is the earlier of the two.
+        request.send_by = self._reactor.seconds() + CLAIM_LEAVE
         try:
-            claimed = await self._owners.call(claim_key, "claim", pairs, request.remaining(self._reactor.seconds()))
+            claimed = await self._owners.call(claim_key, "claim", arguments, request.remaining(self._reactor.seconds()))
         except OutcomeUnknownError as error:
-            later("free")  # it may be claimed, but it will not be carried
+            send_later("free")  # the key may be claimed, but the call will not be sent
             raise DeadlineExceededError(f"the claim's owner did not answer: {error.reason}", retry_after=1) from error
         if claimed["state"] == "done" and claimed["answer"] is None:
-            raise ConflictError("this ran before; its answer was too large to keep", Verdict.YES)
+            raise ConflictError("this call ran before; its answer was too large to store", Verdict.YES)
         if claimed["state"] == "done":
             return {"answer": claimed["answer"], "kept": True}
         try:
-            answer = await onward(request)
+            answer = await next_step(request)
         except OakrampError as error:
             if error.verdict is Verdict.NO:
-                later("free")
+                send_later("free")
             raise
-        later("finish", answer=answer if len(pack_json(answer)) <= CLAIM_ANSWER_LIMIT else None)
+        send_later("finish", answer=answer if len(pack_json(answer)) <= CLAIM_ANSWER_LIMIT else None)
         return {"answer": answer}
 
     async def _forward(self, request):
-        asked = {"run": request.admission["admission"], "key": request.body["key"], "body": request.body["body"]}
-        # A key wins over the binding: what may have run under it is not carried again.
-        return await self._carrier.forward(
+        payload = {"run": request.admission["admission"], "key": request.body["key"], "body": request.body["body"]}
+        # The key takes precedence over the binding: a keyed call that may have run is not sent again.
+        return await self._forwarder.forward(
             request,
             lambda: request.body["key"] is None and bool(request.binding.get("repeatable")),
-            lambda replica, last_check: self._send(request, asked, replica, last_check),
+            lambda replica, last_check: self._send(request, payload, replica, last_check),
         )
 
-    async def _send(self, request, asked, replica, last_check):
-        asked = asked | request.marks()
+    async def _send(self, request, payload, replica, last_check):
+        payload = payload | request.forwarded_fields()
         status, data = await self._gate.web_client.data(
             "POST",
             replica.row["address"],
             "/call",
-            asked,
+            payload,
             request.ends_at - self._reactor.seconds(),
             last_check=last_check,
         )
         try:
-            said = json.loads(data)
+            response = json.loads(data)
         except ValueError as error:
-            raise IncompleteResponseError("the replica answered with what is no JSON", Verdict.MAYBE) from error
-        if not isinstance(said, dict):
-            raise IncompleteResponseError("the replica's answer is no object", Verdict.MAYBE)
-        if status != 200 and said.get("verdict") == "no":
+            raise IncompleteResponseError("the replica's response is not valid JSON", Verdict.MAYBE) from error
+        if not isinstance(response, dict):
+            raise IncompleteResponseError("the replica's response is not a JSON object", Verdict.MAYBE)
+        if status != 200 and response.get("verdict") == "no":
             raise OverloadedError(f"the replica refused with {status}", retry_after=1)
         if status != 200:
             raise IncompleteResponseError(f"the replica answered {status}", Verdict.MAYBE)
-        if said.get("run") != request.admission["admission"] or not isinstance(said.get("answer"), dict):
-            raise IncompleteResponseError("the replica gave an answer to another request", Verdict.MAYBE)
-        return said["answer"]
+        if response.get("run") != request.admission["admission"] or not isinstance(response.get("answer"), dict):
+            raise IncompleteResponseError("the replica's response belongs to another request", Verdict.MAYBE)
+        return response["answer"]
--- a/packages/gateway/oakramp/gateway/prefix_placement.py
+++ b/packages/gateway/oakramp/gateway/prefix_placement.py
@@ -1,7 +1,8 @@
-"""A gate's part in ending mutual eviction: it counts tenants, tells the owner of the plan, and keeps to the plan.
+"""A gate's part in ending mutual eviction: it counts requests by tenant, reports to the plan's owner, and follows the
+plan.
 
-Invariants: a plan is a preference for requests that have not been sent yet, and for nothing else; one that was
-confirmed longer than PLAN_AGE ago, or that cannot be read, is none.
+Invariants: a plan is a preference for requests that have not been sent yet, and for nothing else; a plan that was
+confirmed longer than PLAN_AGE ago, or that cannot be read, is ignored.
 """
 
 import json
@@ -15,13 +16,13 @@
 
 class PrefixPlacement:
     def __init__(self, node, leaders, metrics, cache_tokens_of):
-        """`cache_tokens_of(service)` gives a replica's prefix cache in tokens, or None if it is not known."""
+        """`cache_tokens_of(service)` returns the size of a replica's prefix cache in tokens, or None if unknown."""
         self._node, self._owners, self._metrics, self._cache_tokens_of = node, leaders, metrics, cache_tokens_of
         self._counters, self._plans = {}, {}
         self._number = 0
         self._repeater = Repeater(node.reactor, EVICTION_ROUND, self.report, node.log)
-        node.state_table.watch(PLACEMENT_KEY, self._moved)
-        self._moved(PLACEMENT_KEY)
+        node.state_table.watch(PLACEMENT_KEY, self._on_plan_update)
+        self._on_plan_update(PLACEMENT_KEY)
 
     def start(self):
         self._repeater.start()
@@ -35,8 +36,8 @@
 
     # --- the plan ---
 
-    def _moved(self, source):
-        """Told by the board; what is wrong with a plan must not stop its other news."""
+    def _on_plan_update(self, source):
+        """Callback of the state table; a faulty plan must not stop the other updates."""
         if source != PLACEMENT_KEY:
             return
         try:
@@ -49,16 +50,16 @@
             self._node.log.warning("eviction_plan_unreadable", error=repr(error))
 
     def planned_replica_ids(self, service, tenant):
-        """The ids of the replicas that this tenant's requests should go to, or None if any will do."""
+        """The ids of the replicas that this tenant's requests should go to, or None if there is no plan."""
         planned = self._plans.get(service, {}).get(tenant)
         if planned is None or self._is_off or self._node.state_table.age(PLACEMENT_KEY) > PLAN_AGE:
             return None
         return planned
 
-    # --- what is seen ---
+    # --- counting and reporting ---
 
-    def note(self, service, replica_id, prefix, program, is_late):
-        """The first event of a request with this prefix has come; `program` is None if it belongs to none."""
+    def record_first_event(self, service, replica_id, prefix, program, is_late):
+        """Records the first event of a request with this prefix; `program` is None if it has no program."""
         cache_tokens = self._cache_tokens_of(service)
         if self._is_off or not cache_tokens:
             return
@@ -68,11 +69,11 @@
             self._metrics.count("eviction_placed", to="planned" if replica_id in planned else "elsewhere")
 
     async def report(self):
-        """Tells the owner what was counted, of services whose answers are late or that have a plan."""
+        """Reports the counters of services whose responses are late or that have a plan to the plan's owner."""
         services = {
             service: {"cache": cache_tokens} | counters.take()
             for service, counters in self._counters.items()
-            if (cache_tokens := self._cache_tokens_of(service)) and self._is_pressed(service, counters)
+            if (cache_tokens := self._cache_tokens_of(service)) and self._is_under_pressure(service, counters)
         }
         self._counters = {}
         if not services or self._is_off:
@@ -85,5 +86,5 @@
             CALL_TIME,
         )
 
-    def _is_pressed(self, service, counters):
+    def _is_under_pressure(self, service, counters):
         return counters.late >= PRESSURE_LATE * counters.requests or service in self._plans
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -162,7 +162,7 @@
         if proxied_request.head_sent or proxied_request.attempts > 1:
             return
         waited = self._reactor.seconds() - proxied_request.exchange.received_at
-        self._placement.note(
+        self._placement.record_first_event(
             instance.row["pool"],
             instance.row["id"],
             proxied_request.request.prefix,
--- a/packages/gateway/oakramp/gateway/request.py
+++ b/packages/gateway/oakramp/gateway/request.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the filters, and the chain itself."""
+"""A caller's request while it passes the filters, and the filter chain itself."""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
@@ -10,12 +10,13 @@
 
 @dataclass
 class Request:
-    """Until `waitUntil` it may wait to be carried (the binding's bound, and `leaveBy`, after which what was
-    reserved or claimed for it may be forgotten), until `endsAt` it may run (the caller's). Invariants: `waitUntil`
-    <= `endsAt`; all that a plan decides is read from `binding` when it is needed; `admittedUnder` are the terms of
-    the binding for which the budget's owner admitted the turn, None before; `admission` is new for each time that a
-    gate asks to be let in, so that what one try asked for can be told from another's; `left` turns true before the
-    first byte may reach a replica."""
+    """A request and its deadlines.
+
+    It may wait to be sent until `wait_until` (the binding's limit, and `send_by`, after which its reservation or claim
+    may be dropped), and may run until `ends_at` (the caller's limit). Invariants: `wait_until` <= `ends_at`; all that a
+    plan decides is read from `binding` when it is needed; `admitted_under` holds the terms of the binding under which
+    the budget's owner admitted the turn, None before; `admission` is new for each time that a gate asks for admission,
+    so that the attempts can be told apart; `is_sent` becomes true before the first byte may reach a replica."""
 
     call: object
     partner: str
@@ -23,61 +24,61 @@
     kind: str
     body: dict
     admission: dict
-    asked_at: float
+    received_at: float
     time_left: float | None = None
     binding: dict = None
     admitted_under: tuple = None
     ends_at: float = 0.0
-    leave_by: float = float("inf")
-    left: bool = False
+    send_by: float = float("inf")
+    is_sent: bool = False
     fields: dict = field(default_factory=dict)
 
-    def bound(self, binding):
-        if self.admitted_under not in (None, leases_of(binding)):
-            raise PlanChangedError("the plan changed what this turn was admitted under")
+    def bind(self, binding):
+        if self.admitted_under not in (None, admission_terms(binding)):
+            raise PlanChangedError("the plan changed the terms under which this turn was admitted")
         self.binding = binding
-        whole = self.time_left or TIME_LEFT_DEFAULT
-        self.ends_at = self.asked_at + whole
+        total_s = self.time_left or TIME_LEFT_DEFAULT
+        self.ends_at = self.received_at + total_s
 
-    def marks(self):
-        """What a carried request says besides its content: the binding's adapter, and the caller's own name for this
-        try, by which its way can be followed."""
-        named = {"adapter": self.binding.get("adapter"), "request": self.body["request"]}
-        return {name: value for name, value in named.items() if value is not None}
+    def forwarded_fields(self):
+        """The fields sent to the replica besides the content: the binding's adapter, and the caller's id of this
+        attempt, by which it can be traced."""
+        fields = {"adapter": self.binding.get("adapter"), "request": self.body["request"]}
+        return {name: value for name, value in fields.items() if value is not None}
 
     @property
     def wait_until(self):
-        whole = self.ends_at - self.asked_at
-        return min(self.asked_at + min(whole * (1 - RUN_SHARE), self.binding["maxWaitSeconds"]), self.leave_by)
+        total_s = self.ends_at - self.received_at
+        return min(self.received_at + min(total_s * (1 - RUN_SHARE), self.binding["maxWaitSeconds"]), self.send_by)
 
     def remaining(self, now):
-        """Seconds in which it may still be carried."""
+        """Seconds until which it may still be sent to a replica."""
         if now >= self.wait_until:
-            raise DeadlineExceededError("no time is left to wait")
+            raise DeadlineExceededError("the time to wait for a replica has run out")
         return self.wait_until - now
 
 
-def leases_of(binding):
-    """What an admission depends on."""
+def admission_terms(binding):
+    """The fields of the binding that an admission depends on."""
     return binding.get("maxOutput"), bool(binding.get("repeatable"))
 
 
-def print_of(value):
-    """What tells one request from another under the same id."""
+def fingerprint_of(value):
+    """A digest that distinguishes requests under the same id."""
     return blake2b(pack_json(value), digest_size=16).hexdigest()
 
 
 def chain(filters, last):
-    """One coroutine function of a request: each filter gets the request and what comes after it."""
-    onward = last
-    for one in reversed(filters):
-        onward = _Joint(one, onward)
-    return onward
+    """Combines filters into one coroutine function of a request. Each filter gets the request and the next step."""
+    next_step = last
+    for filter_step in reversed(filters):
+        next_step = _BoundFilter(filter_step, next_step)
+    return next_step
 
 
-class _Joint:
-    def __init__(self, one, onward):
-        self._one, self._onward = one, onward
+class _BoundFilter:
+    def __init__(self, filter_step, next_step):
+        self._filter_step, self._next_step = filter_step, next_step
 
     def __call__(self, request):
-        return self._one(request, self._onward)
+        return self._filter_step(request, self._next_step)
--- a/packages/gateway/oakramp/gateway/settler.py
+++ b/packages/gateway/oakramp/gateway/settler.py
@@ -1,12 +1,14 @@
-"""What came out of turns, told to their budgets' owners."""
+"""Reports the output of turns to the owners of their budgets."""
 
 from oakramp.common.constants import SETTLE_PAUSE
 from oakramp.common.tasks import sleep
 
 
 class SpendReporter:
-    """Tells budgets' owners what came out, several turns of a program at a time. Invariant: `_due[key]` holds what is
-    not on its way yet; each is told until the owner has it, as long as this gate lives."""
+    """Reports the output of turns to the budgets' owners, batched by program.
+
+    Invariant: `_due[key]` holds the turns of the batch that has not been sent yet; each batch is retried until the
+    owner confirms it, as long as this gate runs."""
 
     def __init__(self, gate):
         self._gate, self._reactor = gate, gate.node.reactor
@@ -17,8 +19,8 @@
             self._due[key].append([turn, units])
             return
         self._due[key] = [[turn, units]]
-        self._gate.background(self._tell(key))
+        self._gate.background(self._send_batch(key))
 
-    async def _tell(self, key):
+    async def _send_batch(self, key):
         await sleep(self._reactor, SETTLE_PAUSE)
         await self._gate.leaders.call_until_done(key, "settle", {"settled": self._due.pop(key)})
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -1,4 +1,4 @@
-"""The filters of a turn: bind, admit, recall, then place and carry, retain, settle."""
+"""The filter chain of a turn: bind, admit, read the history, then place and forward, store and settle."""
 
 from schema import And, Optional, Or
 from twisted.internet.defer import ensureDeferred
@@ -28,7 +28,7 @@
 from oakramp.common.tasks import settled, shielded, within
 from oakramp.common.validation import NAME, check_fields, seconds, whole
 from oakramp.gateway.forwarding import error_from_rejection
-from oakramp.gateway.request import Request, chain, leases_of, print_of
+from oakramp.gateway.request import Request, admission_terms, chain, fingerprint_of
 from oakramp.gateway.stream import CallerStream, RunReader
 
 TURN = {
@@ -46,8 +46,8 @@
 class Turns:
     def __init__(self, gate):
         self._gate, self._node, self._reactor = gate, gate.node, gate.node.reactor
-        self._bindings, self._owners, self._lines = gate.bindings, gate.leaders, gate.lines
-        self._placer, self._carrier = gate.placer, gate.carrier
+        self._bindings, self._owners, self._conversations = gate.bindings, gate.leaders, gate.conversations
+        self._load_balancer, self._forwarder = gate.load_balancer, gate.forwarder
         self._run = chain([self._bind, self._admit, self._read_history, self._retain], self._forward)
 
     # --- programs ---
@@ -56,22 +56,24 @@
         partner = call.names["partner"]
         body = check_fields(PROGRAM, call.json())
         check_fields({"partner": NAME}, {"partner": partner})
-        # The plan's limits are the owner's to look up: what this gate knows may be old when the command gets there.
-        shown = await self._owners.call(
+        # The owner looks up the plan's limits: this gate's copy may be outdated when the command arrives.
+        budget_state = await self._owners.call(
             f"budget/{partner}/{body['program']}", "open", {"limit": body["limit"]}, 2 * CALL_TIME
         )
-        return 201, {"program": body["program"]} | shown
+        return 201, {"program": body["program"]} | budget_state
 
     async def read_program(self, call):
-        return await self._ask_program(call, "read")
+        return await self._call_budget_owner(call, "read")
 
     async def end_program(self, call):
-        return await self._ask_program(call, "end")
+        return await self._call_budget_owner(call, "end")
 
-    async def _ask_program(self, call, command):
+    async def _call_budget_owner(self, call, command):
         names = check_fields({"partner": NAME, "program": NAME}, call.names)
-        shown = await self._owners.call(f"budget/{names['partner']}/{names['program']}", command, {}, 2 * CALL_TIME)
-        return 200, {"program": names["program"]} | shown
+        budget_state = await self._owners.call(
+            f"budget/{names['partner']}/{names['program']}", command, {}, 2 * CALL_TIME
+        )
+        return 200, {"program": names["program"]} | budget_state
 
     # --- turns ---
 
@@ -92,7 +94,7 @@
             "budgetKey": f"budget/{names['partner']}/{names['program']}",
             "lineKey": f"{names['partner']}/{names['program']}/{names['line']}",
             "turnKey": f"{names['line']}/{body['turnId']}",
-            "print": print_of([body["binding"], body["after"], body["input"], body["maxOutput"]]),
+            "print": fingerprint_of([body["binding"], body["after"], body["input"], body["maxOutput"]]),
         }
         stream = CallerStream(call)
         request.fields["stream"] = stream
@@ -100,14 +102,14 @@
             await self._run_bound(request)
         except OakrampError as error:
             self._gate.metrics.count("turns", outcome=error.code)
-            if not stream.begun:
+            if not stream.is_started:
                 raise
-            stream.break_off(error)
+            stream.abort(error)
             return
         self._gate.metrics.count("turns", outcome="done")
 
     async def _run_bound(self, request):
-        """Through the chain; again from its start when a new plan changed the terms of the admission."""
+        """Runs the filter chain, and again from its start when a new plan changes the terms of the admission."""
         while True:
             try:
                 await self._run(request)
@@ -116,28 +118,28 @@
                 self._gate.metrics.count("turns_rebound")
                 request.admission, request.admitted_under = self._gate.admission(), None
 
-    async def _bind(self, request, onward):
+    async def _bind(self, request, next_step):
         ends_at = self._reactor.seconds() + CALL_TIME
-        request.bound(
-            await self._bindings.find_surely(
-                request.partner, request.binding_name, request.kind, request.asked_at, ends_at
+        request.bind(
+            await self._bindings.find_confirmed(
+                request.partner, request.binding_name, request.kind, request.received_at, ends_at
             )
         )
-        if not self._placer.has_queue_room(request.partner, request.binding["pool"]):
-            raise OverloadedError("too many requests wait for a replica", retry_after=1)
+        if not self._load_balancer.has_queue_space(request.partner, request.binding["pool"]):
+            raise OverloadedError("too many requests are waiting for a replica", retry_after=1)
         self._gate.check_settling()
         reserve = request.binding["maxOutput"]
         request.fields["reserve"] = min(reserve, request.body["maxOutput"] or reserve)
-        await onward(request)
+        await next_step(request)
 
-    async def _admit(self, request, onward):
-        """Reserves what the turn may put out; whatever happens after, the reservation is settled."""
+    async def _admit(self, request, next_step):
+        """Reserves budget for the turn's maximum output; the reservation is settled whatever happens afterwards."""
         fields = request.fields
-        # The line is read meanwhile: neither needs the other, and both are needed before the turn can go on.
+        # The line is read concurrently: it does not depend on the admission, and the turn needs both to proceed.
         fields["recalling"] = ensureDeferred(
-            settled([self._lines.get(fields["lineKey"], request.remaining(self._reactor.seconds()))])
+            settled([self._conversations.get(fields["lineKey"], request.remaining(self._reactor.seconds()))])
         )
-        answered = self._owners.call(
+        admit_call = self._owners.call(
             fields["budgetKey"],
             "admit",
             request.admission
@@ -150,28 +152,28 @@
             request.remaining(self._reactor.seconds()),
         )
         try:
-            state = (await answered)["state"]
+            state = (await admit_call)["state"]
         except OutcomeUnknownError as error:
-            # It may be reserved, but it will not be carried: so it never runs.
+            # The budget may be reserved, but the turn will not be forwarded, so it never runs.
             self._settle_later(request, "never", 0)
             raise DeadlineExceededError(f"the budget's owner did not answer: {error.reason}", retry_after=1) from error
         if state == "refused":
-            raise BudgetExhaustedError("the program has put out all of its budget")
+            raise BudgetExhaustedError("the program has used up its budget")
         if state != "admitted":
-            await self._replay_kept(request, state)
+            await self._replay_stored(request, state)
             return
-        request.admitted_under = leases_of(request.binding)
+        request.admitted_under = admission_terms(request.binding)
         try:
-            await onward(request)
+            await next_step(request)
         except PlanChangedError:
-            taken = self._settle_later(request, "never", 0)
-            if await within(self._reactor, request.remaining(self._reactor.seconds()), shielded(taken)) is None:
+            settling = self._settle_later(request, "never", 0)
+            if await within(self._reactor, request.remaining(self._reactor.seconds()), shielded(settling)) is None:
                 raise DeadlineExceededError("the budget's owner did not answer", retry_after=1) from None
             raise
         except BaseException as error:
-            # What a run that broke off has put out, perhaps unseen, is not known: all of it counts as spent.
-            never = not request.left or (isinstance(error, OakrampError) and error.verdict is Verdict.NO)
-            self._settle_later(request, *(("never", 0) if never else ("broken", fields["reserve"])))
+            # The output of an interrupted run, perhaps unseen, is unknown: the whole reservation counts as spent.
+            did_not_run = not request.is_sent or (isinstance(error, OakrampError) and error.verdict is Verdict.NO)
+            self._settle_later(request, *(("never", 0) if did_not_run else ("broken", fields["reserve"])))
             raise
 
     def _settle(self, request, outcome, units):
@@ -186,25 +188,25 @@
     def _settle_later(self, request, outcome, units):
         return self._gate.background(self._settle(request, outcome, units))
 
-    async def _read_history(self, request, onward):
+    async def _read_history(self, request, next_step):
         fields, body = request.fields, request.body
-        [(is_read, line)] = await fields["recalling"]
-        if not is_read:
+        [(is_loaded, line)] = await fields["recalling"]
+        if not is_loaded:
             raise line
         if line.is_full:
-            # Before it runs: afterwards it could only be told that its turn ran and is not kept.
-            raise OverloadedError("the stores have no room for more until old lines go", retry_after=FULL_RETRY)
+            # Refused before the run: afterwards the only answer left is that the turn ran and was not stored.
+            raise OverloadedError("the stores are full until old lines are removed", retry_after=FULL_RETRY)
         if body["turnId"] in line.turns:
-            raise ConflictError("a turn with this id is on the line already")
+            raise ConflictError("the line already has a turn with this id")
         fields["line"] = line
         fields["path"] = line.path_to(body["after"])
         fields["start"] = (fields["path"][0] if fields["path"] else body)["input"]
-        await onward(request)
+        await next_step(request)
 
-    async def _retain(self, request, onward):
-        """Keeps the finished turn and settles it, and only after both lets the caller see the closing event."""
+    async def _retain(self, request, next_step):
+        """Stores and settles the finished turn, and sends the closing event to the caller only after both."""
         fields, body = request.fields, request.body
-        await onward(request)
+        await next_step(request)
         reader = fields["reader"]
         turn = {
             "parent": body["after"],
@@ -213,12 +215,12 @@
             "run": fields["run"],
             "print": fields["print"],
         }
-        # What came out is known now, whatever becomes of the turn; so the settling need not wait for the stores.
+        # The output is known now, whether the turn gets stored or not, so settling need not wait for the stores.
         settling = self._settle_later(request, "done", reader.units)
         try:
-            await self._lines.keep(fields["lineKey"], fields["line"], body["turnId"], turn, SETTLE_TIME)
+            await self._conversations.keep(fields["lineKey"], fields["line"], body["turnId"], turn, SETTLE_TIME)
         except OakrampError as error:
-            raise IncompleteResponseError(f"the turn ran, but is not surely kept: {error.reason}") from error
+            raise IncompleteResponseError(f"the turn ran, but may not have been stored: {error.reason}") from error
         try:
             await within(self._reactor, SETTLE_WAIT, shielded(settling))
         except OakrampError as error:
@@ -227,7 +229,7 @@
 
     async def _forward(self, request):
         fields, body = request.fields, request.body
-        asked = {
+        payload = {
             "turn": body["turnId"],
             "line": fields["lineKey"],
             "input": body["input"],
@@ -237,24 +239,24 @@
             ],
             "maxOutput": fields["reserve"],
         }
-        # Never a second run under one reservation: two might put out twice what was reserved.
-        await self._carrier.forward(
-            request, lambda: False, lambda replica, last_check: self._stream(request, asked, replica, last_check)
+        # Never a second run under one reservation: two runs might produce twice the reserved output.
+        await self._forwarder.forward(
+            request, lambda: False, lambda replica, last_check: self._stream(request, payload, replica, last_check)
         )
 
-    async def _stream(self, request, asked, replica, last_check):
+    async def _stream(self, request, payload, replica, last_check):
         fields = request.fields
-        # Only now: while it waited, a newer blueprint may have replaced the binding.
-        asked = asked | request.marks()
-        # Each carry is a run of its own, so pieces of two runs can never pass for one.
+        # Read only now: while the request waited, a newer blueprint may have replaced the binding.
+        payload = payload | request.forwarded_fields()
+        # Each attempt is a run with its own id, so that pieces of two runs are never mixed.
         fields["run"] = run = self._gate.mint_id()
-        fields["stream"].use_run(run)
+        fields["stream"].set_run(run)
         fields.pop("reader", None)
         response = await self._gate.web_client.send(
             "POST",
             replica.row["address"],
             "/turn",
-            asked | {"run": run},
+            payload | {"run": run},
             request.ends_at - self._reactor.seconds(),
             last_check,
         )
@@ -267,29 +269,29 @@
             request.call.gone.addCallback(lambda _: lines.abort())
         try:
             while (piece := await reader.next(request.ends_at)) is not None:
-                fields["stream"].piece(*piece)
+                fields["stream"].write_piece(*piece)
         except OakrampError as error:
             if request.call.is_gone:
-                raise IncompleteResponseError("the caller went away") from error
+                raise IncompleteResponseError("the caller disconnected") from error
             raise
         finally:
             lines.abort()
 
-    async def _replay_kept(self, request, state):
-        """A turn id that was used before: the kept answer, if it was kept, else what is known of it."""
+    async def _replay_stored(self, request, state):
+        """Answers a turn id that was used before: with the stored answer, or with an error that says what is known."""
         fields = request.fields
-        line = await self._lines.get(fields["lineKey"], request.remaining(self._reactor.seconds()))
+        line = await self._conversations.get(fields["lineKey"], request.remaining(self._reactor.seconds()))
         turn = line.turns.get(request.body["turnId"])
         if turn is None and state == "done":
-            raise TurnExpiredError("this turn ran, but is kept no longer", Verdict.YES)
+            raise TurnExpiredError("this turn ran, but is no longer stored", Verdict.YES)
         if turn is None:
             raise IncompleteResponseError(
-                "this turn ran before and broke off", Verdict.MAYBE if state == "vanished" else Verdict.YES
+                "this turn ran before and was interrupted", Verdict.MAYBE if state == "vanished" else Verdict.YES
             )
         if turn["print"] != fields["print"]:
             raise ConflictError("this turn id was used for another request")
         stream = fields["stream"]
-        stream.use_run(turn["run"])
+        stream.set_run(turn["run"])
         for text, units in turn["pieces"]:
-            stream.piece(text, units)
+            stream.write_piece(text, units)
         stream.end(turn=request.body["turnId"], units=sum(units for _, units in turn["pieces"]), kept=True)
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -207,7 +207,7 @@
     CodeMutation(
         "a claimed call leaves soon or never",
         "gateway/oakramp/gateway/plain.py",
-        "request.leave_by = self._reactor.seconds() + CLAIM_LEAVE",
+        "request.send_by = self._reactor.seconds() + CLAIM_LEAVE",
         "pass",
         "test_faults.ReplicaFaults.test_keyed_call_that_waited_leaves_no_more",
     ),
@@ -487,7 +487,7 @@
     CodeMutation(
         "a gate's unknown rests on news from after the call",
         "gateway/oakramp/gateway/bindings.py",
-        "return None if confirmed_at >= asked_at else",
+        "return None if confirmed_at >= received_at else",
         "return None if True else",
         "test_cut_off.Gates.test_a_plan_that_a_gate_has_not_heard_of_yet_is_not_unknown",
     ),
@@ -746,7 +746,7 @@
     CodeMutation(
         "admitted anew under a new plan",
         "gateway/oakramp/gateway/request.py",
-        "if self.admitted_under not in (None, leases_of(binding)):",
+        "if self.admitted_under not in (None, admission_terms(binding)):",
         "if False:",
         "test_faults.Plans.test_waiting_turn_takes_all_of_the_new_plan",
     ),
@@ -844,7 +844,7 @@
     CodeMutation(
         "output within the reservation",
         "gateway/oakramp/gateway/stream.py",
-        "if self.units + units > self._reserve or self._size > OUTPUT_LIMIT:",
+        "if self.units + units > self._reserve or self._output_size > OUTPUT_LIMIT:",
         "if False:",
         "test_faults.ReplicaFaults.test_bad_streams_never_poll_complete",
     ),
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -216,7 +216,7 @@
 
         def first():
             answer.wait = self.reactor.seconds() - answer.at
-            gate.placement.note(SERVICE, name, prefix, program, answer.wait > self.scene.wait)
+            gate.placement.record_first_event(SERVICE, name, prefix, program, answer.wait > self.scene.wait)
             gate.balancer.record_load(instance, self.engines[name].load())
 
         job = Job(prefix, group.out, first, lambda: ended.waiter())
--- a/packages/testbed/oakramp/testbed/simfleet.py
+++ b/packages/testbed/oakramp/testbed/simfleet.py
@@ -303,7 +303,7 @@
     @staticmethod
     def _knows_all(node):
         """Whether the gate knows replicas and the store set, so that a turn that is sent now goes its way at once."""
-        return bool(node.placer.replicas) and StoreMembership.from_state_table(node.node.state_table).epoch > 0
+        return bool(node.load_balancer.replicas) and StoreMembership.from_state_table(node.node.state_table).epoch > 0
 
     def is_ready(self):
         if len(self.shards_held()) < SHARDS:
