--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -20,14 +20,14 @@
         "gateway/oakramp/gateway/balancer.py",
         "if placement_request.admission_threshold is not None and instance.reported_slots:",
         "if False:",
-        "test_balancer.Beginning.test_it_is_refused_where_no_replica_has_so_much_room",
+        "test_balancer.ProgramAdmission.test_it_is_refused_if_no_replica_is_below_the_threshold",
     ),
     CodeMutation(
         "a program keeps to the replica of its last turn",
         "gateway/oakramp/gateway/balancer.py",
         'if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + HOME_SLACK:',
         "if False:",
-        "test_balancer.Home.test_it_goes_there_though_others_have_more_room",
+        "test_balancer.LastReplica.test_it_is_kept_though_others_have_more_capacity",
     ),
     CodeMutation(
         "only turns make a program's home",
@@ -48,7 +48,7 @@
         "gateway/oakramp/gateway/replica_load.py",
         "return self.known_load(now) + (1.0 - self._freshness(now)) * self.service_load.mean(now)",
         "return self.known_load(now)",
-        "test_replica_load.Loads.test_an_old_word_gives_way_to_the_mean_of_the_service",
+        "test_replica_load.LoadEstimates.test_an_old_report_is_replaced_by_the_mean_of_the_service",
     ),
     CodeMutation(
         "a lost fourth voter leaves",
@@ -1125,7 +1125,7 @@
         "gossip/oakramp/gossip/daemon.py",
         "except StorageCorruptedError as error:",
         "except ZeroDivisionError as error:",
-        "test_program.DamagedDisk.test_a_node_whose_disk_is_damaged_stays_and_says_so",
+        "test_program.DamagedDisk.test_a_node_with_a_damaged_disk_keeps_running_and_reports_it",
     ),
     CodeMutation(
         "calls to a store that just failed are held back",
@@ -1195,7 +1195,7 @@
         "membership/oakramp/membership/identity.py",
         "            self._refuse_orphaned_ring()\n",
         "            pass\n",
-        "test_program.DamagedDisk.test_a_node_whose_disk_is_damaged_stays_and_says_so",
+        "test_program.DamagedDisk.test_a_node_with_a_damaged_disk_keeps_running_and_reports_it",
     ),
     CodeMutation(
         "swapped ring files",
@@ -1962,7 +1962,7 @@
         "            self._refused[placement_request.service] += 1\n"
         "            raise _no_capacity_error(placement_request)\n",
         "            raise _no_capacity_error(placement_request)\n",
-        "test_balancer.Demand.test_programs_that_may_not_begin_are_demand_too",
+        "test_balancer.Demand.test_refused_programs_count_as_demand",
     ),
     CodeMutation(
         "who acted lately waits a whole lock delay",
