--- a/packages/gateway/oakramp/gateway/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -141,8 +141,8 @@
     def take_demand(self, service):
         """(active, refused): requests of a service that are running at replicas or waiting here, and those refused for
         lack of capacity since the last call."""
-        own = sum(one.in_flight for one in self._by_service.get(service, ()))
-        return own + len(self._waiting.get(service, ())), self._refused.pop(service, 0)
+        in_flight = sum(one.in_flight for one in self._by_service.get(service, ()))
+        return in_flight + len(self._waiting.get(service, ())), self._refused.pop(service, 0)
 
     # --- selection ---
 
@@ -212,9 +212,8 @@
         if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + HOME_SLACK:
             return last_replica
         hash_choice = max(hash_candidates, key=lambda one: self._preference(one, affinity))
-        may_use_hash_choice = (
-            placement_request.admission_threshold is None
-        )  # a program's first request has no cached prompts
+        # A program's first request has no cached prompts, so it is placed by load.
+        may_use_hash_choice = placement_request.admission_threshold is None
         if (
             may_use_hash_choice
             and hash_choice in with_capacity
