--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -1,30 +1,33 @@
-"""The key `storeset`: which stores keep the lines, and how one takes another's place.
+"""The key `storeset`: the store membership, that is, which stores keep the lines, and how a store is replaced.
 
 A replacement goes through epochs, each of which is a version of the key:
 
     stable   members          A B C    reads and writes: 2 of A B C
-    joining  members, joining A B C +D writes: 2 of A B C and 2 of B C D; reads: 2 of A B C; D copies
-    moving   members, joining A B C +D writes: the same; reads: 2 of B C D
+    joining  members, joining A B C +D writes: 2 of A B C and 2 of B C D; reads: 2 of A B C; D copies the data
+    moving   members, joining A B C +D writes: as in joining; reads: 2 of B C D
     stable   members          B C D    A is retired
 
-Stores answer only askers of their own epoch. The leader goes on from a phase once a majority of the old and
-of the new members say that they stand in its epoch: then no quorum of the phase before can come about any
-more. Reads of a phase meet the writes of its neighbours, and neighbours are all that can be at work at once.
+A store answers only requests of its own epoch. The leader moves on to the next phase once a majority of the old and
+of the new members report that they are in the epoch of the current phase: from then on, no quorum of the phase before
+can be reached. The read quorums of a phase overlap the write quorums of the phases next to it, and only neighbouring
+phases can be in use at the same time.
 
-A joining may be given up for another one, in one step: both read 2 of A B C and write 2 of A B C, so they may be at
-work at once. Once moving, the change goes on without the one that joins, if it must: it is then a member that has
-to be replaced.
+While in phase joining, a replacement may be given up for another one in one step: under both, reads need 2 of A B C
+and writes include 2 of A B C, so both may be in use at the same time. Once in phase moving, the change is completed,
+without the joining store if need be, which is then a member that has to be replaced.
 
-In a cluster that forms itself, the leader of the key also mends the set. A store that lost its disk comes back where
-it was under a new id and takes its previous self's place; a machine that is to be emptied, a member that stays silent,
-and one that says that it ends, give theirs to a spare: a live store that is not in the set. A spare may be the one that
-replaces a machine which was taken away, and then the next disk may be lost as soon as the spare has been there for the
-bound `rejoin_s`. So a silent member's place is given away in time for a spare to be a full member within that.
+In a self-forming cluster, the leader of the key also repairs the membership. A store that lost its disk comes back at
+its former place under a new id and replaces its former incarnation. A member on a machine that is to be drained, a
+member that stays silent and a member that reports that it is shutting down are replaced by a spare: a live store that
+is not a member. The spare may be the replacement of a machine that was taken away, and then the next disk may be lost
+as soon as the spare has been there for the bound `rejoin_s`. So a silent member is replaced early enough for a spare
+to be a full member within that time.
 
 Invariants: `version` rises with every change; `since` is the epoch in which a member began to copy (1: it was
-there before any line); an id in `retired` is never a member again; an id in `pruned` is retired, and no
-version anywhere is numbered by it; no store of a machine in `emptied` joins, and once none is in a stable set, every
-line is on a write quorum of other machines: the one that joined has copied from so many that it met every quorum.
+a member before any line was stored); an id in `retired` is never a member again; an id in `pruned` is retired, and no
+version of any line on any store is numbered by it; no store of a machine in `emptied` joins, and once no such store is
+in a stable membership, every line is on a write quorum of other machines: the store that joined has copied from so many
+stores that they overlap every quorum.
 """
 
 import json
@@ -68,13 +71,13 @@
 
 
 def machine_of(members, node_id):
-    """By the node's own word, or by its id, which begins with it."""
+    """The machine that the node itself reports, or else the one that its id begins with."""
     member = members.find(node_id)
     return member.machine if member else node_id.rpartition(".")[0]
 
 
 class StoreMembership:
-    """One version of the key, as stores and gates use it."""
+    """One version of the key, in the form in which stores and gateways use it."""
 
     def __init__(self, record):
         self.record = record
@@ -94,12 +97,12 @@
 
     @classmethod
     def from_state_table(cls, state_table):
-        """The newest membership that gossip has brought to this node; an empty one before the first."""
+        """The newest membership that this node has received by gossip; an empty one if it has received none."""
         rows = state_table.values(STORES_KEY)
         return cls(json.loads(rows["set"]) if "set" in rows else EMPTY)
 
     def is_written(self, node_ids):
-        """Whether these stores are a write quorum."""
+        """Whether these stores form a write quorum."""
         return all(len(node_ids & member_ids.keys()) >= majority(member_ids) for member_ids in self.write_sets)
 
     def since(self, node_id):
@@ -123,12 +126,13 @@
 def _check_version(record, based_on):
     if based_on != record["version"]:
         raise VersionConflictError(
-            f"built on epoch {based_on}, the newest is {record['version']}", detail={"version": record["version"]}
+            f"the change is based on epoch {based_on}, but the newest is {record['version']}",
+            detail={"version": record["version"]},
         )
 
 
 def _set(transaction, _key, arguments):
-    """The first set, of stores that are all empty."""
+    """Creates the first membership; all its stores are empty."""
     check_fields(
         {
             "basedOn": whole(0, 1 << 53),
@@ -143,8 +147,8 @@
     if record["version"] and record["members"] == members:
         return record
     if record["version"]:
-        raise ConflictError("there is a store set already; change it by replacing one store at a time")
-    # How many losses it is to bear, which also says how many stores there have to be.
+        raise ConflictError("the store membership exists already; change it by replacing one store at a time")
+    # The number of store losses to tolerate also determines how many stores are needed.
     return _put(transaction, record, members=members, losses=arguments.get("losses") or max(1, len(members) // 2))
 
 
@@ -154,17 +158,21 @@
     leaving, joining = arguments["leaving"], arguments["joining"]
     ids = [row["nodeId"] for row in record["members"]]
     if record["leaving"] == leaving and (record["joining"] or {}).get("nodeId") == joining["nodeId"]:
-        return record  # asked again
+        return record  # the request is a repetition
     if record["phase"] != STABLE:
         raise ConflictError(f"{record['leaving']} is being replaced by {record['joining']['nodeId']} already")
     if leaving not in ids:
-        raise NotFoundError(f"{leaving} is not in the store set; it has {', '.join(ids)}")
+        raise NotFoundError(f"{leaving} is not a member store; the members are {', '.join(ids)}")
     if joining["nodeId"] in ids or joining["nodeId"] in record["retired"]:
-        raise RequestRejectedError(f"{joining['nodeId']} is or was in the store set; a new one needs an empty folder")
+        raise RequestRejectedError(
+            f"{joining['nodeId']} is or was a member store; a new store needs an empty data folder"
+        )
     _check_version(record, arguments["basedOn"])
-    fewer = [node_id for node_id in ids if node_id != leaving and members.condition(node_id) != LIVE]
-    if fewer:
-        error = RequestRejectedError(f"{', '.join(fewer)} is not live; without {leaving} too few copies would be left")
+    not_live = [node_id for node_id in ids if node_id != leaving and members.condition(node_id) != LIVE]
+    if not_live:
+        error = RequestRejectedError(
+            f"{', '.join(not_live)} is not live; without {leaving} too few copies would be left"
+        )
         raise transaction.context.refusal(error)
     return _begin_joining(transaction, record, leaving, joining)
 
@@ -177,44 +185,44 @@
             RequestRejectedError(f"{joining['nodeId']} is not a live store of this cluster")
         )
     if joining_member.machine in record.get("emptied", ()):
-        raise RequestRejectedError(f"{joining_member.machine} is being emptied, or was")
+        raise RequestRejectedError(f"{joining_member.machine} is being drained or was drained")
     return _put(transaction, record, phase=JOINING, leaving=leaving, joining=joining | {"since": record["version"] + 1})
 
 
 def _repair(transaction, _key, arguments):
-    """The same for the watch: while others are silent too, and in the place of a joining that cannot go on or is
-    less pressing."""
+    """Begins a replacement for StoreMembershipTask. Unlike `_replace`, it is allowed while other members are silent,
+    and it may take the place of a replacement in phase joining that cannot go on or is less urgent."""
     check_fields({"basedOn": whole(0, 1 << 53), "leaving": NAME, "joining": STORE}, arguments)
     record = _record(transaction)
     leaving, joining = arguments["leaving"], arguments["joining"]
     ids = [row["nodeId"] for row in record["members"]]
     _check_version(record, arguments["basedOn"])
     if record["phase"] == MOVING:
-        raise ConflictError("the set is moving")
+        raise ConflictError("the replacement under way is in phase moving")
     if leaving not in ids or joining["nodeId"] in ids or joining["nodeId"] in record["retired"]:
         raise RequestRejectedError(f"{joining['nodeId']} cannot take the place of {leaving}")
     return _begin_joining(transaction, record, leaving, joining)
 
 
 def _retire(transaction, _key, arguments):
-    """From now on the machine is to be emptied; a spare takes its place in the set."""
+    """Marks the machine as to be drained; a spare replaces its store in the membership."""
     check_fields({"machine": NAME}, arguments)
     record, machine = _record(transaction), arguments["machine"]
     emptied = record.get("emptied", [])
     if not record["version"]:
-        raise QuorumUnavailableError("the first store set has not been formed yet", retry_after=1)
+        raise QuorumUnavailableError("the first store membership has not been formed yet", retry_after=1)
     if machine not in emptied:
         _check_known(transaction, record, machine)
-        # One that is silent for a moment is counted on to come back.
-        left = {
+        # A store that has been silent for a short time only is expected to come back, and counts.
+        remaining = {
             member.machine
             for member, age in transaction.context.members.newest().values()
             if member.kind == "store" and age <= STORES_PATIENCE and member.node_id not in record["retired"]
         }
-        left -= {machine, *emptied}
+        remaining -= {machine, *emptied}
         needed = 2 * record.get("losses", 1) + 1
-        if len(left) < needed:
-            error = ConflictError(f"{len(left)} live stores would be left, {needed} are needed")
+        if len(remaining) < needed:
+            error = ConflictError(f"{len(remaining)} live stores would be left, {needed} are needed")
             raise transaction.context.refusal(error)
         record = _put(transaction, record, emptied=[*emptied, machine])
     return _retired(transaction, _key, arguments)
@@ -231,7 +239,7 @@
 
 
 def _retired(transaction, _key, arguments):
-    """`delivered` once the machine may be taken away with its disk."""
+    """The state of a machine that is to be drained: `delivered` once it may be taken away with its disk."""
     check_fields({"machine": NAME}, arguments)
     record, machine = _record(transaction), arguments["machine"]
     _check_known(transaction, record, machine)
@@ -246,13 +254,13 @@
     check_fields({"basedOn": whole(0, 1 << 53)}, arguments)
     record = _record(transaction)
     if record["phase"] != JOINING:
-        raise RequestRejectedError("there is no replacement that can still be called off")
+        raise RequestRejectedError("there is no replacement that can still be cancelled")
     _check_version(record, arguments["basedOn"])
     return _put(transaction, record, phase=STABLE, leaving=None, joining=None)
 
 
 def _advance(transaction, _key, arguments):
-    """The next phase; only for the watch, which has asked the stores."""
+    """Moves on to the next phase; only for StoreMembershipTask, which has asked the stores before."""
     check_fields({"basedOn": whole(0, 1 << 53)}, arguments)
     record = _record(transaction)
     _check_version(record, arguments["basedOn"])
@@ -276,7 +284,9 @@
     record = _record(transaction)
     _check_version(record, arguments["basedOn"])
     if record["phase"] != STABLE or not set(arguments["ids"]) <= set(record["retired"]) - set(record["pruned"]):
-        raise RequestRejectedError("only ids of retired stores are pruned, and only between replacements")
+        raise RequestRejectedError(
+            "only ids of retired stores can be pruned, and only while no replacement is under way"
+        )
     return _put(transaction, record, pruned=[*record["pruned"], *arguments["ids"]])
 
 
@@ -304,7 +314,8 @@
 
 
 def spread_over(zones, stores, count):
-    """So many of these stores, from as many zones as there are."""
+    """Chooses `count` of these stores, spread over as many zones as possible; `zones` gives the zones of stores that
+    were chosen before, by node id."""
     ranks = {}
     for one in sorted(stores, key=lambda one: one.node_id):
         ranks[one.node_id] = len([other for other in ranks if zones[other] == one.zone])
@@ -313,27 +324,28 @@
 
 
 class StoreMembershipTask(SingletonTask):
-    """Moves a replacement on and, if the cluster forms itself, begins those that the set needs. Its state is in the
-    key, so a crash anywhere resumes.
+    """Drives a replacement through its phases and, in a self-forming cluster, begins the replacements that the
+    membership needs. The state is kept in the key, so after a crash at any point the next leader resumes.
 
-    Invariants: `_silentSince` holds the stores that this node has seen no sign of since then, in rounds without a
-    gap: one that was frozen itself has watched nobody meanwhile; `_stores` is the newest set in the news."""
+    Invariants: `_silent_since` maps each store that this node has no sign of life from to the time since when, watched
+    in rounds without a gap, because a process that was frozen itself has watched nobody meanwhile; `_stores` is the
+    newest membership in this node's state table."""
 
-    def __init__(self, node, leaders, mends=False, losses=1):
+    def __init__(self, node, leaders, self_forming=False, tolerated_losses=1):
         super().__init__(node, leaders, STORES_KEY, STORES_POLL)
-        self._mends, self._losses = mends, losses
+        self._self_forming, self._tolerated_losses = self_forming, tolerated_losses
         self._silent_since, self._watched_at, self._first_seen_at = {}, float("-inf"), None
         self._pruned_at = float("-inf")
         rejoin = (node.env.get("bounds") or {}).get("rejoin_s", REJOIN)
-        self._patience = min(STORES_PATIENCE, max(2 * CONDITION_AGE, rejoin - STORES_JOIN_TIME))
-        self._note_stores()
-        node.state_table.watch(STORES_KEY, self._note_stores)
+        self._silence_limit_s = min(STORES_PATIENCE, max(2 * CONDITION_AGE, rejoin - STORES_JOIN_TIME))
+        self._update_stores()
+        node.state_table.watch(STORES_KEY, self._update_stores)
 
-    def _note_stores(self, _source=STORES_KEY):
+    def _update_stores(self, _source=STORES_KEY):
         self._stores = StoreMembership.from_state_table(self._node.state_table)
 
     async def _round(self):
-        if self._mends:
+        if self._self_forming:
             self._watch_stores(self._stores)
         await super()._round()
 
@@ -345,21 +357,21 @@
         self._silent_since = {
             node_id: self._silent_since.get(node_id, now)
             for node_id, row in stores.everyone.items()
-            if not self._is_here(node_id, row)
+            if not self._is_present(node_id, row)
         }
         if self._first_seen_at is None and self._node.members.live("store"):
             self._first_seen_at = now
 
-    def _is_here(self, node_id, row):
+    def _is_present(self, node_id, row):
         return self._node.members.condition(node_id) == LIVE and self._successor_of(node_id, row) is None
 
     def _is_lost(self, node_id):
         since = self._silent_since.get(node_id)
-        return since is not None and self._node.reactor.seconds() - since >= self._patience - CONDITION_AGE
+        return since is not None and self._node.reactor.seconds() - since >= self._silence_limit_s - CONDITION_AGE
 
     def _successor_of(self, node_id, row):
-        """Who came back in this store's place without its disk: at its address, or, once it is silent, on a machine
-        of its name. The previous id has ended for ever."""
+        """The store that came back in place of this one, without its disk: at the same address or, once this one is
+        silent, on a machine of the same name. The previous id is never used again."""
         members = self._node.members
         successor = members.successor_of(node_id, row["peer"])
         if successor is not None:
@@ -369,63 +381,64 @@
         machine = machine_of(members, node_id)
         return next((one for one in members.live("store") if one.machine == machine and one.node_id != node_id), None)
 
-    async def _work(self, owner):
-        record = await owner.do(STORES_KEY, "read", {})
-        if self._mends and not record["version"]:
-            await self._form(owner)
+    async def _work(self, leader):
+        record = await leader.do(STORES_KEY, "read", {})
+        if self._self_forming and not record["version"]:
+            await self._form_first_membership(leader)
             return
-        if self._mends and record["phase"] != MOVING:
-            record = await self._repair(owner, record)
-        while record["phase"] != STABLE and owner.holds_lease():
-            moved = await self._move_on(owner, record)
+        if self._self_forming and record["phase"] != MOVING:
+            record = await self._repair(leader, record)
+        while record["phase"] != STABLE and leader.holds_lease():
+            moved = await self._advance_phase(leader, record)
             if moved is not None:
                 record = moved
                 continue
             await sleep(self._node.reactor, STORES_MOVING_PAUSE)
-            if self._mends and record["phase"] != MOVING:
-                record = await self._repair(owner, await owner.do(STORES_KEY, "read", {}))
+            if self._self_forming and record["phase"] != MOVING:
+                record = await self._repair(leader, await leader.do(STORES_KEY, "read", {}))
             else:
-                record = await owner.do(STORES_KEY, "read", {})
+                record = await leader.do(STORES_KEY, "read", {})
         prunable = [node_id for node_id in record["retired"] if node_id not in record["pruned"]]
         if record["phase"] == STABLE and prunable and self._node.reactor.seconds() - self._pruned_at >= PRUNE_PAUSE:
             self._pruned_at = self._node.reactor.seconds()
-            await self._may_prune(owner, record, prunable)
+            await self._prune_unused_ids(leader, record, prunable)
 
-    # --- forming and mending ---
+    # --- bootstrap and repair ---
 
-    async def _form(self, owner):
-        """The first set: as many stores as the losses ask for; fewer, if no more have come for a while."""
-        live, wanted = self._node.members.live("store"), 2 * self._losses + 1
+    async def _form_first_membership(self, leader):
+        """Creates the first membership: with as many stores as the tolerated losses require, or fewer if no more stores
+        have appeared for STORES_FIRST_WAIT."""
+        live, wanted = self._node.members.live("store"), 2 * self._tolerated_losses + 1
         waited = (
             self._first_seen_at is not None and self._node.reactor.seconds() - self._first_seen_at >= STORES_FIRST_WAIT
         )
         if len(live) < wanted and not (waited and live):
             return
         chosen = spread_over({}, live, min(wanted, len(live) - (len(live) + 1) % 2))
-        record = await owner.do(
+        record = await leader.do(
             STORES_KEY,
             "set",
             {
                 "basedOn": 0,
-                "losses": self._losses,
+                "losses": self._tolerated_losses,
                 "members": [{"nodeId": one.node_id, "peer": one.peer} for one in chosen],
             },
         )
         self._node.log.info(
             "store_membership_bootstrapped", members=",".join(row["nodeId"] for row in record["members"])
         )
-        await self._tell(record)
+        await self._publish(record)
 
-    async def _repair(self, owner, record):
-        """Begins the most pressing replacement, if it is not under way."""
-        wanted = self._wanted(record)
+    async def _repair(self, leader, record):
+        """Begins the most urgent replacement, unless it is under way already."""
+        wanted = self._next_replacement(record)
         if wanted is None:
             return record
         if wanted == "cancel":
-            record = await owner.do(STORES_KEY, "cancel", {"basedOn": record["version"]})
+            record = await leader.do(STORES_KEY, "cancel", {"basedOn": record["version"]})
         else:
             leaving, joining = wanted
-            record = await owner.do(
+            record = await leader.do(
                 STORES_KEY,
                 "mend",
                 {
@@ -440,11 +453,11 @@
             leaving=record["leaving"] or "",
             joining=(record["joining"] or {}).get("nodeId", ""),
         )
-        await self._tell(record)
+        await self._publish(record)
         return record
 
-    def _wanted(self, record):
-        """(leaving id, joining member) of a replacement to begin now, "cancel", or None."""
+    def _next_replacement(self, record):
+        """What to begin now: (leaving id, joining member) of a replacement, "cancel", or None."""
         stores, emptied = StoreMembership(record), record.get("emptied", ())
         successors = {
             node_id: successor
@@ -457,7 +470,7 @@
         if joining is not None:
             successor = self._successor_of(joining["nodeId"], joining)
             is_lost = successor is not None or self._is_lost(joining["nodeId"])
-            if successors and leaving not in successors and not self._is_gone(leaving, stores):
+            if successors and leaving not in successors and not self._is_replaced_or_lost(leaving, stores):
                 return next(iter(successors.items()))
             if not is_lost:
                 return None
@@ -466,26 +479,26 @@
             if leaving in successors:
                 return leaving, successors[leaving]
             if spares:
-                return leaving, self._nearest(spares, leaving)
+                return leaving, self._spare_in_zone_of(spares, leaving)
             is_staying = (
-                self._is_here(leaving, stores.members[leaving])
+                self._is_present(leaving, stores.members[leaving])
                 and machine_of(self._node.members, leaving) not in emptied
             )
             return "cancel" if is_staying else None
         if successors:
             return next(iter(successors.items()))
-        here = [node_id for node_id, row in stores.members.items() if self._is_here(node_id, row)]
+        here = [node_id for node_id, row in stores.members.items() if self._is_present(node_id, row)]
         for node_id in stores.members:
-            is_ending = (
+            is_to_be_replaced = (
                 machine_of(self._node.members, node_id) in emptied
                 or self._node.members.condition(node_id) == LEAVING
                 or self._is_lost(node_id)
             )
-            if is_ending and spares and len({*here} - {node_id}) >= len(stores.members) // 2:
-                return node_id, self._nearest(spares, node_id)
+            if is_to_be_replaced and spares and len({*here} - {node_id}) >= len(stores.members) // 2:
+                return node_id, self._spare_in_zone_of(spares, node_id)
         return None
 
-    def _is_gone(self, node_id, stores):
+    def _is_replaced_or_lost(self, node_id, stores):
         return self._successor_of(node_id, stores.members[node_id]) is not None or self._is_lost(node_id)
 
     def _spares(self, record, stores, successors):
@@ -498,63 +511,63 @@
             if one.node_id not in taken and one.machine not in record.get("emptied", ())
         ]
 
-    def _nearest(self, spares, node_id):
-        """In the zone of the one that leaves, if there is one: so the zones keep their copies."""
+    def _spare_in_zone_of(self, spares, node_id):
+        """A spare in the zone of the leaving store, if there is one, so that each zone keeps its copies."""
         previous = self._node.members.find(node_id)
         return min(spares, key=lambda one: (previous is None or one.zone != previous.zone, one.node_id))
 
-    # --- moving on ---
+    # --- phases of a replacement ---
 
-    async def _move_on(self, owner, record):
-        """The record of the next phase, or None if it is too early for it."""
-        if not await self._tell(record):
+    async def _advance_phase(self, leader, record):
+        """Moves on to the next phase and returns its record, or None if the stores are not ready for it."""
+        if not await self._publish(record):
             return None
-        record = await owner.do(STORES_KEY, "advance", {"basedOn": record["version"]})
+        record = await leader.do(STORES_KEY, "advance", {"basedOn": record["version"]})
         self._node.log.info("store_membership_changed", epoch=record["version"], phase=record["phase"])
         if record["phase"] == STABLE:
-            await self._tell(record)
+            await self._publish(record)
         return record
 
-    async def _tell(self, record):
-        """Tells the stores of this version of the set. Whether so many of them stand in it that no quorum of the
-        version before can come about, and who joins has copied, if it has to."""
+    async def _publish(self, record):
+        """Sends this version of the membership to the stores. Returns whether so many of them have adopted it that no
+        quorum of the version before can be reached and, in phase joining, the joining store has copied the data."""
         stores, text = StoreMembership(record), pack_json(record).decode()
         copying = record["joining"]["nodeId"] if record["phase"] == JOINING else None
 
         async def ask(node_id, row):
-            said = await self._status(node_id, row, text)
-            if said["epoch"] != stores.epoch or (node_id == copying and not said["covers"]):
-                raise QuorumUnavailableError(f"{node_id} is not so far")
+            status = await self._status(node_id, row, text)
+            if status["epoch"] != stores.epoch or (node_id == copying and not status["covers"]):
+                raise QuorumUnavailableError(f"{node_id} has not reached this phase yet")
 
-        is_moved, _ = await quorum_of(
+        is_adopted, _ = await quorum_of(
             {node_id: ask(node_id, row) for node_id, row in stores.everyone.items()},
             lambda node_ids: stores.is_written(node_ids) and (copying is None or copying in node_ids),
         )
-        return is_moved
-
-    async def _status(self, node_id, row, told=None):
-        said = json.loads(await self._node.net.call(row["peer"], "storeStatus", STORES_ASK, record=told))
-        if said["nodeId"] != node_id:
-            raise StaleEpochError(f"{row['peer']} is {said['nodeId']} now, not {node_id}")
-        return said
-
-    async def _may_prune(self, owner, record, prunable):
-        """A retired id's entries tell nothing once no version is numbered by it: a version lies below another
-        exactly if its own dot does. All members must say so in this epoch; the next epoch shuts out what is
-        still on its way from before."""
+        return is_adopted
+
+    async def _status(self, node_id, row, sent=None):
+        answer = json.loads(await self._node.net.call(row["peer"], "storeStatus", STORES_ASK, record=sent))
+        if answer["nodeId"] != node_id:
+            raise StaleEpochError(f"{row['peer']} is now {answer['nodeId']}, not {node_id}")
+        return answer
+
+    async def _prune_unused_ids(self, leader, record, prunable):
+        """Prunes the ids of retired stores that number no version any more. Their vector entries then carry no
+        information: a version precedes another exactly if its own dot does. All members must report this in this
+        epoch; messages from before that are still under way are rejected in the next epoch."""
         stores = StoreMembership(record)
         answers = await settled([self._status(node_id, row) for node_id, row in stores.members.items()])
-        if not all(ok and said["epoch"] == stores.epoch for ok, said in answers):
+        if not all(ok and status["epoch"] == stores.epoch for ok, status in answers):
             return
-        used = {store_id for _, said in answers for store_id in said["dots"]}
+        used = {store_id for _, status in answers for store_id in status["dots"]}
         ids = [node_id for node_id in prunable if node_id not in used]
         if ids:
-            await owner.do(STORES_KEY, "prune", {"basedOn": stores.epoch, "ids": ids})
+            await leader.do(STORES_KEY, "prune", {"basedOn": stores.epoch, "ids": ids})
             self._node.log.info("store_ids_pruned", ids=",".join(ids))
 
 
 async def stores_shown(node, record):
-    """The record with each store's condition and, where it answers, its progress."""
+    """The record with the condition of each store and, for a store that answers, its status."""
     stores = StoreMembership(record)
 
     async def ask(row):
@@ -563,10 +576,10 @@
         except OakrampError as error:
             return {"unanswered": error.reason}
 
-    said = await settled([ask(row) for row in stores.everyone.values()])
+    answers = await settled([ask(row) for row in stores.everyone.values()])
     return record | {
         "stores": [
             row | {"condition": node.members.condition(node_id), "status": status}
-            for (node_id, row), (_, status) in zip(stores.everyone.items(), said)
+            for (node_id, row), (_, status) in zip(stores.everyone.items(), answers)
         ]
     }
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1284,7 +1284,7 @@
     CodeMutation(
         "no retirement before there is a store set",
         "control/oakramp/control/store_membership.py",
-        'raise QuorumUnavailableError("the first store set has not been formed yet", retry_after=1)',
+        'raise QuorumUnavailableError("the first store membership has not been formed yet", retry_after=1)',
         "pass",
         "test_second_loss.Retiring.test_order_before_the_set_is_formed",
     ),
