--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -922,7 +922,7 @@
         "the place of a silent member is kept free",
         "control/oakramp/control/membership_repair.py",
         (
-            "if node_id not in here\n            or not "
+            "if node_id not in present\n            or not "
             "node.gossip_client.answers_lately(answering[node_id].peer, VOTING_CONFIG_HEARD)"
         ),
         "if False",
@@ -1518,8 +1518,8 @@
     CodeMutation(
         "a repair of the voting configuration lets failovers end first",
         "control/oakramp/control/membership_repair.py",
-        "may_repair = self._mends and not self._holds_failovers_up()",
-        "may_repair = self._mends",
+        "may_repair = self._self_forming and not self._waits_for_failovers()",
+        "may_repair = self._self_forming",
         "test_recovery.Recovery.test_every_shard_is_led_soon_after_an_outage_of_all",
     ),
     CodeMutation(
