--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -116,7 +116,7 @@
         members = self._node.members
         return [
             node_id
-            for node_id, peer in self._voter.voting_config.named.items()
+            for node_id, peer in self._voter.voting_config.leader_candidates.items()
             if members.condition(node_id) == LIVE and members.successor_of(node_id, peer) is None
         ]
 
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -1,21 +1,23 @@
-"""The key `roster`: whose disks vote. It changes through a version of both sets, which may differ in any number of
-members (joint consensus):
+"""The key `roster`: the voting configuration, that is, which control nodes are voters. It changes through a joint
+version of both sets, which may differ in any number of members (joint consensus):
 
     version r      members A B C                           majority of A B C
     version r+1    members A B C, next B C D E F           majority of both; every shard is written again
     version r+2    members B C D E F                       majority of B C D E F
 
-A voter answers only messages of its own voting configuration version, so each majority belongs to one version. The
-leader of the key goes on from r+1 once a majority of both sets stands in it (then no majority of version r can come
-about any more) and every shard's leader says that its snapshot lies on majorities of both (then the new set knows all
-that the old one confirmed). The state of the change is in the key itself, so whoever owns it next goes on.
+A voter answers only messages of its own version of the voting configuration, so each majority belongs to one version.
+The leader of the key moves on from r+1 once a majority of both sets has adopted it (from then on no majority of version
+r can be reached) and every shard's leader reports that its snapshot is on majorities of both (then the new set knows
+everything that the old one confirmed). The state of the change is kept in the key itself, so the next leader of the key
+continues it.
 
-How a cluster that forms itself mends it: `membership_repair`.
+For the repair of the voting configuration in a self-forming cluster see `membership_repair`.
 
-A member that was replaced and comes back with its disk is an outsider, and may join again under its old id: an id is
-one disk, and as long as it is there, so is all it has promised. What it holds is older than what a majority of any
-later version holds, as with any voter that was cut off, and the versions in between shut out what it may still ask.
-A lost disk is another id, and calls to a voter name the id they are for.
+A member that was replaced and comes back with its disk is not a member any more, and may join again under its old id:
+an id stands for one disk, and as long as the disk exists, so do all the promises made under that id. What it holds is
+older than what a majority of any later version holds, as with any voter that was cut off, and because of the versions
+in between, requests that it may still send are rejected. A node that lost its disk has another id, and calls to a voter
+name the id that they are meant for.
 
 Invariants: `version` rises with every change; `next` is set only in a joint version, and is not empty; a majority is
 counted among voters of one version, each of which has answered under its own id.
@@ -35,17 +37,17 @@
 
 
 class VotingConfiguration:
-    """One version of the voting configuration. While it changes, `next` holds the members of the version to come, and
-    a quorum needs majorities of both."""
+    """One version of the voting configuration. During a change, `next` holds the members of the next version, and a
+    quorum needs majorities of both sets."""
 
     def __init__(self, record):
         self.record, self.version = record, record["version"]
         self.members, self.next = record["members"], record.get("next")
         self.everyone = self.members | (self.next or {})
-        self.named = self.next or self.members  # whom shards are named for: a leaving member hands over early
+        self.leader_candidates = self.next or self.members  # a leaving member hands its shards over early
 
     def is_quorum(self, node_ids):
-        """Whether these nodes include a majority of the members, and of the next members where there are some."""
+        """Whether these nodes include a majority of the members and, during a change, of the next members."""
         return all(
             len(node_ids & member_ids.keys()) > len(member_ids) // 2
             for member_ids in (self.members, self.next)
@@ -53,7 +55,8 @@
         )
 
     def losses_left(self, present):
-        """How many of the voters that are present may be lost with a majority left; below 0 if there is none now."""
+        """How many of the voters that are present may be lost with a majority left; negative if there is no majority
+        now."""
         return min(
             losses_left(len(member_ids), len(present & member_ids.keys()))
             for member_ids in (self.members, self.next)
@@ -62,7 +65,7 @@
 
 
 def losses_left(members, present):
-    """The same of one set, by the numbers of its members and of those that are present."""
+    """How many more losses one set tolerates, given the numbers of its members and of those that are present."""
     return present - (members // 2 + 1)
 
 
@@ -73,7 +76,8 @@
 def _check_version(record, based_on):
     if based_on != record["version"]:
         raise VersionConflictError(
-            f"built on version {based_on}, the newest is {record['version']}", detail={"version": record["version"]}
+            f"the change is based on version {based_on}, but the newest is {record['version']}",
+            detail={"version": record["version"]},
         )
 
 
@@ -87,18 +91,18 @@
         joining["nodeId"]: joining["peer"]
     }
     if record.get("next") == changed:
-        return record  # asked again
+        return record  # the request is a repetition
     if record.get("next") is not None:
-        raise ConflictError("a member is being replaced already")
+        raise ConflictError("another member is being replaced already")
     if leaving not in members:
-        raise NotFoundError(f"{leaving} is not in the roster; it has {', '.join(sorted(members))}")
+        raise NotFoundError(f"{leaving} is not in the roster; its members are {', '.join(sorted(members))}")
     if joining["nodeId"] in members:
         raise RequestRejectedError(f"{joining['nodeId']} is in the roster already")
     return _begin_change(transaction, record, arguments["basedOn"], changed)
 
 
 def _begin_change(transaction, record, based_on, changed):
-    """The joint version of the members and those they are changed to."""
+    """Puts the joint version of the present members and the changed ones."""
     _check_version(record, based_on)
     known = transaction.context.members
     for node_id in changed.keys() - record["members"].keys():
@@ -119,22 +123,24 @@
     )
     record, changed = _record(transaction), arguments["next"]
     if record.get("next") == changed or (record.get("next") is None and record["members"] == changed):
-        return record  # asked again
+        return record  # the request is a repetition
     if record.get("next") is not None:
         raise ConflictError("the roster is being changed already")
-    _check_smaller(transaction, record["members"], changed)
+    _check_shrink(transaction, record["members"], changed)
     return _begin_change(transaction, record, arguments["basedOn"], changed)
 
 
-def _check_smaller(transaction, members, changed):
-    """A voting configuration gets smaller only by members that are not live, and keeps VOTING_CONFIG_LEAST."""
+def _check_shrink(transaction, members, changed):
+    """Only members that are not live may be removed without a replacement, and VOTING_CONFIG_LEAST members stay."""
     if len(changed) >= len(members):
         return
     if len(changed) < VOTING_CONFIG_LEAST:
-        raise RequestRejectedError(f"a smaller roster has {VOTING_CONFIG_LEAST} members at least")
+        raise RequestRejectedError(f"a roster may shrink to {VOTING_CONFIG_LEAST} members at least")
     live = [node_id for node_id in members.keys() - changed if transaction.context.members.condition(node_id) == LIVE]
     if live:
-        raise RequestRejectedError(f"{', '.join(sorted(live))} is live: a roster gets smaller by who is gone only")
+        raise RequestRejectedError(
+            f"{', '.join(sorted(live))} is live: only members that are not live may be removed without a replacement"
+        )
 
 
 def _advance(transaction, _key, arguments):
