--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1700,8 +1700,8 @@
     CodeMutation(
         "a fenced call leaves only inside the lease",
         "control/oakramp/control/fenced_task.py",
-        '        if not leader.holds_lease():\n            return "there is no lease"',
-        '        if False:\n            return "there is no lease"',
+        '        if not leader.holds_lease():\n            return "this node holds no lease"',
+        '        if False:\n            return "this node holds no lease"',
         "test_fenced_tasks.Fences.test_a_call_that_is_late_to_connect_does_not_leave_without_the_lease",
     ),
     CodeMutation(
@@ -1721,7 +1721,7 @@
     CodeMutation(
         "a new holder waits for the former one's calls",
         "control/oakramp/control/fenced_task.py",
-        "if now < self._acts_from(leader):",
+        "if now < self._may_act_from(leader):",
         "if False:",
         "test_fenced_tasks.Fences.test_no_call_before_the_former_holders_calls_have_arrived",
     ),
@@ -1981,7 +1981,7 @@
     CodeMutation(
         "a holder that cannot reach the platform offers the fenced task",
         "control/oakramp/control/fenced_task.py",
-        "        if self._is_cut_off(outcome):",
+        "        if self._should_offer_shard(outcome):",
         "        if False:",
         "test_fenced_tasks_fleet.Fleet.test_a_holder_that_alone_does_not_reach_the_platform_hands_the_shard_over",
     ),
