--- a/packages/control/oakramp/control/bootstrap.py
+++ b/packages/control/oakramp/control/bootstrap.py
@@ -1,16 +1,17 @@
-"""How the core forms by itself: once, from the seeds of a first start, with no message.
+"""Bootstrap of a self-forming cluster: once, from the seeds of a first start, without any message.
 
-On a first start the seeds are the same everywhere. So each control node that stands among them can write the same
-first voting configuration, of ids and a cluster id made from the seeds' addresses alone, and none has to wait for
-another.
+On a first start, the seeds are the same on all nodes. So each control node that is one of the seeds can write the same
+first voting configuration, whose node ids and cluster id are derived from the seeds' addresses alone, and no node has
+to wait for another. The steps, in the order in which they reach the disk:
 
-    identity   founder's id, and what it is founding     synced before the id is used for anything
-    ring       the first voting configuration                          the voter knows whose disks count
-    identity   the cluster id                            from here on it takes part
+    identity   the id of the first voter and its bootstrap record     synced before the id is used for anything
+    ring       the first voting configuration                         from here on the voter knows the voters
+    identity   the cluster id                                         from here on the node takes part
 
-A crash after any of these resumes from what the identity says is being founded, whatever the env says by then.
-A disk that was lost is no part of a first start: the machine comes back as somebody else and joins by pull, so
-nobody founds twice, and no id made from an address is ever used without the promises made under it.
+After a crash behind any of these steps, the node resumes from the bootstrap record in its identity, whatever its env
+says by then. A node that lost its disk takes no part in a bootstrap: it comes back under a new id and joins by pulling
+from the others. So no node bootstraps twice, and no id derived from an address is ever used without the promises that
+were made under it.
 """
 
 from hashlib import blake2b
@@ -22,7 +23,7 @@
     return blake2b("\0".join(parts).encode(), digest_size=16).hexdigest()
 
 
-def founder_id(address, seeds):
+def first_voter_id(address, seeds):
     return f"founder.{_digest('founder', address, *sorted(seeds))}"
 
 
@@ -30,26 +31,27 @@
     return f"cluster.{_digest('cluster', *sorted(seeds))}"
 
 
-def founding_of(env):
-    """What a node with this env and an empty disk founds, as its identity keeps it; None if it is no founder."""
+def bootstrap_record_of(env):
+    """The bootstrap record of a node with this env and an empty disk, as its identity keeps it; None if the node is
+    not one of the first voters."""
     seeds = env["seeds"]
     if not (env.get("selfForming") and env.get("firstStart")) or env["peer"] not in seeds:
         return None
     return {
-        "nodeId": founder_id(env["peer"], seeds),
+        "nodeId": first_voter_id(env["peer"], seeds),
         "clusterId": first_cluster_id(seeds),
         "roster": {
             "version": FIRST_VERSION,
             "next": None,
-            "members": {founder_id(seed, seeds): seed for seed in sorted(seeds)},
+            "members": {first_voter_id(seed, seeds): seed for seed in sorted(seeds)},
         },
     }
 
 
-async def found(node, voter):
-    """Finishes what the identity says is being founded."""
-    founding = node.identity.founding
-    await voter.set_voting_config(founding["roster"])
-    node.identity.join_cluster(founding["clusterId"], founded=True)
-    node.net.join_cluster(founding["clusterId"])
-    node.log.info("cluster_bootstrapped", cluster_id=founding["clusterId"], members=len(founding["roster"]["members"]))
+async def complete_bootstrap(node, voter):
+    """Completes the bootstrap that is recorded in the node's identity."""
+    record = node.identity.founding
+    await voter.set_voting_config(record["roster"])
+    node.identity.join_cluster(record["clusterId"], founded=True)
+    node.net.join_cluster(record["clusterId"])
+    node.log.info("cluster_bootstrapped", cluster_id=record["clusterId"], members=len(record["roster"]["members"]))
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -1,4 +1,4 @@
-"""A control node put together."""
+"""Composition of a control node."""
 
 import time
 
@@ -10,7 +10,7 @@
 from oakramp.common.settings import orders_replicas
 from oakramp.common.tasks import settled, sleep, spawn
 from oakramp.common.wall_clock import SteadyWallClock
-from oakramp.control import (  # noqa: F401  each enters its controller
+from oakramp.control import (  # noqa: F401  each module registers its controller
     budget,
     idempotency,
     plan,
@@ -22,7 +22,7 @@
     voting_configuration,
 )
 from oakramp.control.admin_api import AdminApi
-from oakramp.control.bootstrap import found, founding_of
+from oakramp.control.bootstrap import bootstrap_record_of, complete_bootstrap
 from oakramp.control.fenced_task import FencedCaller
 from oakramp.control.leader_registry import LeaderRegistry
 from oakramp.control.lease import LeaseRenewalPiggyback
@@ -44,12 +44,12 @@
 
 
 class ControlNode:
-    """A control node, composed: voter, leaders, periodic tasks, operators' interfaces and metrics."""
+    """A control node: voter, shard leaders, periodic tasks, operators' interfaces and metrics."""
 
     shard_count = SHARDS
 
     def __init__(self, reactor, env, disk, random, sink, wall=time.time, dialect=None):
-        self.node = Node(reactor, "control", env, random, sink, disk, wall, founding_of(env))
+        self.node = Node(reactor, "control", env, random, sink, disk, wall, bootstrap_record_of(env))
         self.ring = CircularLog(
             disk,
             self.node.log,
@@ -71,9 +71,11 @@
             if env.get("platform")
             else None
         )
-        mends, tolerated_losses = bool(env.get("selfForming")), env.get("toleratedLosses") or 1
-        self.voting_config_watch = MembershipRepairTask(self.node, self.voter, self.leaders, mends, tolerated_losses)
-        self.store_watch = StoreMembershipTask(self.node, self.leaders, mends, tolerated_losses)
+        self_forming, tolerated_losses = bool(env.get("selfForming")), env.get("toleratedLosses") or 1
+        self.voting_config_watch = MembershipRepairTask(
+            self.node, self.voter, self.leaders, self_forming, tolerated_losses
+        )
+        self.store_watch = StoreMembershipTask(self.node, self.leaders, self_forming, tolerated_losses)
         self.placement = PrefixPlacementTask(self.node, self.leaders)
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.operator = OperatorApi(self, dialect) if dialect is not None and env.get("operator") else None
@@ -100,41 +102,41 @@
             self.metrics.gauge(name, ask)
 
     def _compose_fenced_tasks(self, env, wall, dialect):
-        """The fenced tasks that the platform leaves to this fleet, as far as this node can reach the platform."""
+        """Creates the fenced tasks that the platform delegates to this fleet, if this node has a platform address."""
         tasks = env.get("platformTasks") or ()
         if not tasks or not env.get("platform"):
             return
         self.clock = SteadyWallClock(self.node.reactor, wall, self.node.log)
-        form = dialect or PlainCallFormat()
+        call_format = dialect or PlainCallFormat()
         hand_over = ShardHandOver(self.node, self.leaders)
-        self.fenced_caller = FencedCaller(self.node, form, self.metrics, hand_over)
+        self.fenced_caller = FencedCaller(self.node, call_format, self.metrics, hand_over)
         if "usage" in tasks:
-            self.usage = UsageReporting(self.node, self.leaders, self.fenced_caller, form, self.clock)
+            self.usage = UsageReporting(self.node, self.leaders, self.fenced_caller, call_format, self.clock)
             self.metrics.gauge("usage_windows_owed", self.usage.windows_owed)
         if dialect is not None and orders_replicas(env):
-            self.orders = ReplicaOrdering(self.node, self.leaders, self.fenced_caller, form, dialect)
+            self.orders = ReplicaOrdering(self.node, self.leaders, self.fenced_caller, call_format, dialect)
             self.metrics.gauge("replica_orders_owed", self.orders.orders_owed)
 
     def fenced_keys(self):
-        """The keys of the fenced tasks that this node takes part in."""
+        """The keys of the fenced tasks in which this node takes part."""
         return [key for key, task in ((USAGE_KEY, self.usage), (ORDERS_KEY, self.orders)) if task]
 
-    def _fenced_parts(self):
+    def _fenced_components(self):
         return [part for part in (self.clock, self.fenced_caller, self.usage, self.orders) if part is not None]
 
     def start(self):
-        """Listens, joins the gossip, and starts the periodic tasks once what this node bootstraps is on its disk."""
+        """Listens, joins gossip, and starts the periodic tasks once a bootstrap by this node is on its disk."""
         self.node.start()
         self.web.listen()
         if self.operator:
             self.operator.listen()
-        self._starting = spawn(self._found_and_start(), self.node.log)
+        self._starting = spawn(self._bootstrap_and_start(), self.node.log)
 
-    async def _found_and_start(self):
-        """Takes part in nothing before what it founds is on its disk."""
+    async def _bootstrap_and_start(self):
+        """Takes part in nothing before a bootstrap by this node is on its disk."""
         while self.node.identity.founding is not None:
             try:
-                await found(self.node, self.voter)
+                await complete_bootstrap(self.node, self.voter)
             except (OakrampError, OSError) as error:
                 self.node.log.warning("bootstrap_failed", error=repr(error))
                 await sleep(self.node.reactor, OWNER_TRIES_PAUSE)
@@ -148,16 +150,16 @@
         self.placement.start()
         if self.platform:
             self.platform.start()
-        for part in self._fenced_parts():
+        for part in self._fenced_components():
             part.start()
 
     async def stop(self):
-        """Hands the shards over, finishes requests under way and stops; other nodes are told first."""
+        """Tells other nodes, hands the shards over, finishes requests under way and stops."""
         self._starting.cancel()
         await self.node.gossip_client.say_leaving()
         if self.platform:
             self.platform.stop()
-        for part in self._fenced_parts():
+        for part in self._fenced_components():
             part.stop()
         self.store_watch.stop()
         self.placement.stop()
--- a/packages/control/oakramp/control/daemon.py
+++ b/packages/control/oakramp/control/daemon.py
@@ -10,6 +10,6 @@
     run_daemon(
         "oakramp-control",
         CONTROL_SETTINGS,
-        "A control node of oakramp: votes on control state and owns slots of it.",
+        "A control node of oakramp: votes on control state and leads slots of it.",
         ControlNode,
     )
