--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -33,7 +33,7 @@
 from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
 from oakramp.control.plan import gossiped_plan
-from oakramp.control.reservation_numbers import NUMBER, is_back, note_back
+from oakramp.control.reservation_numbers import NUMBER, is_cancelled, record_cancelled
 from oakramp.membership.members import SILENT
 
 TURN = And(str, len, error="must be LINE/TURN")
@@ -83,7 +83,7 @@
             return  # a late admission of a turn without a record is rejected by the limit on turns anyway
         program["turns"] += 1
     record = record or {"state": "never", "print": arguments["print"], "admission": arguments["admission"], "units": 0}
-    transaction.put(_turn_record_key(key, turn), record | {"back": note_back(transaction, record, arguments)})
+    transaction.put(_turn_record_key(key, turn), record | {"back": record_cancelled(transaction, record, arguments)})
 
 
 def _reserved(program):
@@ -163,7 +163,7 @@
     program, turn = _running(transaction, key), arguments["turn"]
     transaction.context.touch(key)
     row, record = program["open"].get(turn), transaction.get(_turn_record_key(key, turn))
-    if is_back(record, arguments):
+    if is_cancelled(record, arguments):
         raise RequestRejectedError("this admission was cancelled before it arrived")
     if row and row["admission"] == arguments["admission"]:
         return {"state": "admitted", "reserve": row["reserve"]}
--- a/packages/control/oakramp/control/idempotency.py
+++ b/packages/control/oakramp/control/idempotency.py
@@ -15,7 +15,7 @@
 from oakramp.common.errors import ConflictError, InProgressError, RequestRejectedError
 from oakramp.common.validation import NAME, check_fields
 from oakramp.control.controllers import CONTROLLERS, Controller
-from oakramp.control.reservation_numbers import NUMBER, is_back, note_back
+from oakramp.control.reservation_numbers import NUMBER, is_cancelled, record_cancelled
 
 ADMISSION = {"print": str, "admission": NAME, "gate": NAME, "number": NUMBER}
 
@@ -28,7 +28,7 @@
 def _claim(transaction, key, arguments):
     check_fields(ADMISSION, arguments)
     claim = transaction.get(key)
-    if is_back(claim, arguments):
+    if is_cancelled(claim, arguments):
         raise RequestRejectedError("this claim was cancelled before it arrived")
     if claim and claim["state"] != "free" and claim["print"] != arguments["print"]:
         raise ConflictError("this key is in use for a request with another body")
@@ -59,7 +59,7 @@
             "admission": arguments["admission"],
             "back": (claim or {}).get("back", {}),
         }
-    _put_claim(transaction, key, claim, **(claim | {"back": note_back(transaction, claim, arguments)}))
+    _put_claim(transaction, key, claim, **(claim | {"back": record_cancelled(transaction, claim, arguments)}))
     return {}
 
 
--- a/packages/control/oakramp/control/reservation_numbers.py
+++ b/packages/control/oakramp/control/reservation_numbers.py
@@ -1,9 +1,9 @@
-"""Tells a reservation that was taken back from a later one, when messages arrive late.
+"""Distinguishes a cancelled reservation from a later one when messages arrive late.
 
-A gateway numbers the reservations that it asks for, so of two by one gateway the later has the higher number. A key
-that takes reservations keeps for each gateway the highest number that was taken back (`back`); one that arrives with a
-number not above it was taken back before. Rows of gateways that are no members any more are dropped: what such a
-gateway asked for is given up anyway.
+A gateway numbers its reservations, so of two reservations by one gateway, the later one has the higher number. A key
+that holds reservations keeps, for each gateway, the highest number that was cancelled (`back`); a reservation that
+arrives with a number not above it has been cancelled before. Entries of gateways that are not members any more are
+dropped: the reservations of such a gateway are given up anyway.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 NUMBER = whole(1, 1 << 53)
 
 
-def is_back(kept: dict[str, Any] | None, arguments: dict[str, Any]) -> bool:
-    """Whether the reservation of these arguments has been taken back already, by the stored row of its key."""
+def is_cancelled(kept: dict[str, Any] | None, arguments: dict[str, Any]) -> bool:
+    """Whether, by the stored row of its key, the reservation with these arguments has already been cancelled."""
     return kept is not None and arguments["number"] <= kept.get("back", {}).get(arguments["gate"], 0)
 
 
-def note_back(transaction: Transaction, kept: dict[str, Any], arguments: dict[str, Any]) -> dict[str, int]:
-    """The new `back` of the row, once the reservation of these arguments has been taken back."""
+def record_cancelled(transaction: Transaction, kept: dict[str, Any], arguments: dict[str, Any]) -> dict[str, int]:
+    """The new `back` of the row after the reservation with these arguments was cancelled."""
     members, back = transaction.context.members, kept.get("back", {})
     known = {gate: number for gate, number in back.items() if members.find(gate) is not None}
     return known | {arguments["gate"]: max(arguments["number"], back.get(arguments["gate"], 0))}
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -640,7 +640,7 @@
     CodeMutation(
         "claims taken back are told by number",
         "control/oakramp/control/idempotency.py",
-        "    if is_back(claim, arguments):",
+        "    if is_cancelled(claim, arguments):",
         "    if False:",
         "test_budgets.Claims.test_late_claim_is_rejected_after_two_cancellations",
     ),
