--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -452,7 +452,7 @@
     CodeMutation(
         "a lost yes is not followed by a no",
         "control/oakramp/control/shard_client.py",
-        "error\n                            if unsure is None\n",
+        "error\n                            if unknown_outcome is None\n",
         "error\n                            if True\n",
         "test_stores.Replacing.test_lost_yes_is_not_followed_by_a_no",
     ),
@@ -563,7 +563,7 @@
     CodeMutation(
         "a replacement is told to be over once a majority stands in it",
         "control/oakramp/control/admin_api.py",
-        "            await self._in_force(VotingConfiguration(record))",
+        "            await self._wait_until_adopted(VotingConfiguration(record))",
         "            pass",
         "test_cut_off.Replacements.test_a_replacement_is_complete_only_when_a_majority_has_its_version",
     ),
