--- a/packages/control/oakramp/control/admin_api.py
+++ b/packages/control/oakramp/control/admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' side of a control node: HTTP + JSON."""
+"""The administrative interface of a control node: HTTP and JSON."""
 
 from schema import And
 
@@ -14,8 +14,8 @@
 from oakramp.control.store_membership import STORES_KEY, stores_shown
 from oakramp.control.voting_configuration import VOTING_CONFIG_KEY, VotingConfiguration
 
-READ_TIME = 2 * CALL_TIME  # s; a leader may change once while an operator reads
-CHANGE_TIME = 4 * CALL_TIME  # s; a change outlasts one failover before it is answered with maybe
+READ_TIME = 2 * CALL_TIME  # s; allows for one change of the leader during a read
+CHANGE_TIME = 4 * CALL_TIME  # s; allows for one failover before a change is answered with the verdict maybe
 
 
 class AdminApi:
@@ -70,10 +70,10 @@
             body["clusterId"],
         ):
             raise ConflictError(
-                "this node belongs to a cluster already", detail={"clusterId": self._node.net.cluster_id}
+                "this node already belongs to a cluster", detail={"clusterId": self._node.net.cluster_id}
             )
         if voter.voting_config is None:
-            # The voting configuration first: a node with a voting configuration and no cluster id takes part in nothing
+            # The voting configuration is written first: a node that has one but no cluster id takes part in nothing
             # yet.
             await voter.set_voting_config(voting_config)
             self._node.identity.join_cluster(body["clusterId"])
@@ -83,7 +83,7 @@
 
     async def _ask(self, key, command, arguments, time_left=READ_TIME):
         if not self._node.net.cluster_id:
-            raise RequestRejectedError("this node is in no cluster yet", retry_after=1)
+            raise RequestRejectedError("this node does not belong to a cluster yet", retry_after=1)
         return 200, await self._client.call(key, command, arguments, time_left)
 
     def _partner_key(self, call):
@@ -138,15 +138,15 @@
         }
 
     async def _fenced_tasks(self, _call):
-        return 200, {"duties": [await self._fenced_task_shown(key) for key in self._control.fenced_keys()]}
+        return 200, {"duties": [await self._fenced_task_status(key) for key in self._control.fenced_keys()]}
 
-    async def _fenced_task_shown(self, key):
-        """Who holds the fenced task, and what its key's `read` tells."""
+    async def _fenced_task_status(self, key):
+        """The machine that holds the fenced task, and the answer to `read` of its key."""
         known = self._control.leaders.failover.known_leader(shard_of_key(key))
         member = known and self._node.members.find(known.node_id)
         holder = {"duty": key, "holder": member and member.machine, "epoch": known and known.epoch}
-        _, told = await self._ask(key, "read", {})
-        return holder | told
+        _, answer = await self._ask(key, "read", {})
+        return holder | answer
 
     async def _replicas(self, _call):
         return await self._ask(REPLICAS_KEY, "read", {})
@@ -173,7 +173,7 @@
     async def _voting_config(self, _call):
         status, record = await self._ask(VOTING_CONFIG_KEY, "read", {})
         if record["next"] is None:
-            await self._in_force(VotingConfiguration(record))
+            await self._wait_until_adopted(VotingConfiguration(record))
         members = self._node.members
         return status, record | {
             "conditions": {
@@ -181,9 +181,9 @@
             }
         }
 
-    async def _in_force(self, voting_config):
-        """Returns once a majority stands in this version. Before, a loss of members who do may leave the others in a
-        version in which they are no majority, so the change is not told to be over."""
+    async def _wait_until_adopted(self, voting_config):
+        """Returns once a majority has adopted this version. Before that, the loss of members that have adopted it may
+        leave the others in a version in which they are no majority, so the change is not reported as completed."""
         ends_at = self._node.reactor.seconds() + READ_TIME
         members = self._node.members
         addresses = {
@@ -192,7 +192,7 @@
         }
         while not await majority_answers(self._node, addresses, voting_config, voting_config.version):
             if self._node.reactor.seconds() >= ends_at:
-                raise QuorumUnavailableError("no majority stands in the newest roster yet", retry_after=1)
+                raise QuorumUnavailableError("no majority has adopted the newest roster yet", retry_after=1)
             await sleep(self._node.reactor, VOTING_CONFIG_MOVING_PAUSE)
 
     async def _replace_member(self, call):
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -1,23 +1,22 @@
-"""The interface of the operator whose one configuration is kept under `routing`.
-
-Names and formats are the dialect's, and so is what a document means; what is answered and when is decided here:
-
-    200  on a majority of disks, also if this exact change was taken before
-    412  built on a version that is past, so it is not taken and never will be
-    4xx  not taken and never will be: unreadable, invalid, an unknown machine, too few left
-    503  no leader could be asked, what became of it is not known, or it may still be taken: to be repeated as it is, at
-    any
-         node; within half a second, if no majority of the voting configuration answers this node, and within a second
-         if its last answers took long
-
-An operator that moves on to another node leaves its call here under way. That does no harm: a change is taken once, by
-its fingerprint, and one built on a version that is past stays lost.
-
-What the dialect has to say: `operator_routes`, {replace, change, read, retire, retire_state: (method, path)}, the last
-two with {machine} in their paths; `operator_status(error)`, of one that is final; `base_version_of(headers)`;
-`routing_of(document, parsed)`, the table in the product's leases, or Invalid with every fault; `version_of(document)`;
-`patch_of(body)`, {version, upsert, remove}; `with_version(document, version)`; `retire_shown(state)`, a JSON-able
-answer.
+"""The interface of the operator whose one configuration is kept under the key `routing`.
+
+The dialect defines names and formats and the meaning of a document; this module decides what is answered and when:
+
+    200  the change is on a majority of disks, also if this exact change was accepted before
+    412  based on a version that is not the newest any more: not accepted and never will be
+    4xx  not accepted and never will be: unreadable, invalid, an unknown machine, too few machines left
+    503  no leader could be asked, or the outcome is not known, or the change may still be accepted: the request is to
+         be repeated unchanged, at any node. Answered within half a second if no majority of the voting configuration
+         answers this node, and within a second if its last answers took long
+
+An operator that moves on to another node leaves its call here under way. That does no harm: a change is applied once,
+which is ensured by its fingerprint, and a change that is based on an outdated version remains rejected.
+
+A dialect has to provide: `operator_routes`, {replace, change, read, retire, retire_state: (method, path)}, the last
+two with {machine} in their paths; `operator_status(error)`, for a final error; `base_version_of(headers)`;
+`routing_of(document, parsed)`, the table in this software's own terms, or Invalid with every fault;
+`version_of(document)`; `patch_of(body)`, {version, upsert, remove}; `with_version(document, version)`;
+`retire_shown(state)`, an answer that can be encoded as JSON.
 """
 
 import json
@@ -45,49 +44,57 @@
 from oakramp.control.routing import ROUTING_KEY, apply_patch, check_table, document_from, pieces_of
 from oakramp.control.store_membership import STORES_KEY
 
-AGAIN = 503  # the status of whatever is to be asked for again
-FRAME_ROOM = 64 << 10  # bytes; of a frame, for what is around a command's arguments
+RETRY_STATUS = 503  # of each request that is to be repeated
+FRAME_OVERHEAD = 64 << 10  # bytes of a frame that are reserved for everything but the arguments of a command
 
 
-# --- reading what comes in ----------------------------------------------------------
+# --- parsing of requests ------------------------------------------------------------
 
 
-def _object(pairs):
+def _object_without_duplicates(pairs):
     names = dict(pairs)
     if len(names) != len(pairs):
-        raise BadRequestError("body names something twice in one object")
+        raise BadRequestError("body has a duplicate key in an object")
     return names
 
 
-def _no_number(text):
-    raise BadRequestError(f"body holds {text}, which is no number")
+def _reject_number(text):
+    raise BadRequestError(f"body holds {text}, which is not a valid number")
 
 
 def _float(text):
     number = float(text)
     if number in (float("inf"), float("-inf")):
-        _no_number(text)
+        _reject_number(text)
     return number
 
 
 def read_document(data):
-    """The JSON object in a body, or BadRequestError: what could be read in two ways is not read at all."""
+    """Parses the JSON object in a body. Raises BadRequestError, also if the document could be read in more than one
+    way."""
     try:
-        document = json.loads(data.decode(), object_pairs_hook=_object, parse_constant=_no_number, parse_float=_float)
+        document = json.loads(
+            data.decode(),
+            object_pairs_hook=_object_without_duplicates,
+            parse_constant=_reject_number,
+            parse_float=_float,
+        )
     except (ValueError, RecursionError) as error:
-        raise BadRequestError(f"body is no JSON: {error}") from error
+        raise BadRequestError(f"body is not valid JSON: {error}") from error
     if not isinstance(document, dict):
         raise BadRequestError("body must be a JSON object")
     return document
 
 
 def fingerprint_of(method, based_on, body):
-    """Names this exact change, however its body was spaced."""
+    """Identifies this exact change, whatever the whitespace in its body."""
     return blake2b(b"%s %d %s" % (method, based_on, pack_json(body)), digest_size=16).hexdigest()
 
 
 class OperatorApi:
-    """Invariant: `_known` is a version that a majority has confirmed, with its document; a version has one document."""
+    """The HTTP interface of the operator.
+
+    Invariant: `_known` is a version that a majority has confirmed, with its document; a version has one document."""
 
     def __init__(self, control, dialect):
         self._node, self._client, self._dialect = control.node, control.majority_client, dialect
@@ -95,14 +102,14 @@
         self.web = HttpServer(
             self._node.reactor, self._node.env["operator"], self._node.log, OPERATOR_QUEUE_LIMIT, OPERATOR_LIMIT
         )
-        for word, handler in (
+        for operation, handler in (
             ("replace", self._put),
             ("change", self._patch),
-            ("read", self._while_new(self._read)),
-            ("retire", self._while_new(self._retire)),
-            ("retire_state", self._while_new(self._retired)),
+            ("read", self._unless_outdated(self._read)),
+            ("retire", self._unless_outdated(self._retire)),
+            ("retire_state", self._unless_outdated(self._retired)),
         ):
-            self.web.route(*dialect.operator_routes[word], self._answering(handler))
+            self.web.route(*dialect.operator_routes[operation], self._with_error_answers(handler))
 
     def listen(self):
         self.web.listen()
@@ -110,20 +117,21 @@
     async def stop(self):
         await self.web.stop()
 
-    def _answering(self, handler):
+    def _with_error_answers(self, handler):
         async def answer(call):
             try:
                 return 200, await handler(call)
             except OakrampError as error:
                 status = self._status_of(error)
                 self._node.log.info("operator_request_rejected", status=status, code=error.code, reason=error.reason)
-                return status, error.to_json(), OPERATOR_RETRY if status == AGAIN else None
+                return status, error.to_json(), OPERATOR_RETRY if status == RETRY_STATUS else None
 
         return answer
 
-    def _while_new(self, handler):
-        """The handler of calls whose answers may become untrue. One that is ready later than any call may take was
-        found out before this process was frozen, and is not given. What became of a change stays true."""
+    def _unless_outdated(self, handler):
+        """Wraps a handler whose answers may become outdated. An answer that is ready later than any call may take was
+        determined before this process was frozen, and is replaced by an error. The outcome of a change stays true, so
+        changes need no such check."""
 
         async def answer(call):
             asked_at = self._node.reactor.seconds()
@@ -132,25 +140,26 @@
             finally:
                 if self._node.reactor.seconds() - asked_at > OPERATOR_ANSWER_AGE:
                     raise QuorumUnavailableError(
-                        "the answer came too late to be true still", retry_after=OPERATOR_RETRY
+                        "the answer took so long that it may be outdated", retry_after=OPERATOR_RETRY
                     )
 
         return answer
 
     def _status_of(self, error):
-        """Only a promise that nothing was done and nothing will be may end an operator's call."""
-        return self._dialect.operator_status(error) if error.verdict is Verdict.NO else AGAIN
+        """The status for an error. Only an error that guarantees that nothing was done and nothing will be done may
+        end an operator's call; after any other, the operator must retry."""
+        return self._dialect.operator_status(error) if error.verdict is Verdict.NO else RETRY_STATUS
 
     async def _ask(self, key, command, arguments):
         if not self._node.net.cluster_id:
-            raise QuorumUnavailableError("this node is in no cluster yet")
+            raise QuorumUnavailableError("this node does not belong to a cluster yet")
         return await self._client.call(key, command, arguments, OPERATOR_TIME)
 
     # --- the configuration ---
 
     async def _newest(self):
-        """(version, document) as the leader has it inside its lease; (0, None) before the first one. The document comes
-        from this node's own news if they are as new as that."""
+        """The newest (version, document), confirmed by the leader while it holds its lease; (0, None) before the first
+        one. The document is read from this node's own state table if that has the same version."""
         snapshot = self._node.state_table.snapshots.get(ROUTING_KEY)
         if snapshot is not None and snapshot.version > self._known[0]:
             self._known = document_from(self._node.state_table.values(ROUTING_KEY))
@@ -165,17 +174,17 @@
     async def _read(self, _call):
         version, document = await self._newest()
         if not version:
-            raise NotFoundError("no configuration has been taken yet")
+            raise NotFoundError("there is no configuration yet")
         return document
 
     def _change_of(self, call, method):
-        """(version built on, body, fingerprint) of a change."""
+        """(version that the change is based on, body, fingerprint)."""
         based_on = self._dialect.base_version_of(call.request.requestHeaders)
         body = read_document(call.request.content.read())
         return based_on, body, fingerprint_of(method, based_on, body)
 
     def _check(self, document):
-        """The version of a document that is valid as a whole."""
+        """Validates a whole document and returns its version."""
         try:
             check_table(self._dialect.routing_of(document))
             return self._dialect.version_of(document)
@@ -185,37 +194,38 @@
     async def _put(self, call):
         based_on, document, fingerprint = self._change_of(call, b"PUT")
         version = self._check(document)
-        return await self._take("put", based_on, version, fingerprint, document=document)
+        return await self._submit("put", based_on, version, fingerprint, document=document)
 
     async def _patch(self, call):
         based_on, body, fingerprint = self._change_of(call, b"PATCH")
         patch = self._dialect.patch_of(body)
         current, document = await self._newest()
         if current != based_on:
-            # It can't be taken any more, or names a version that is not there; but it may have been taken before.
+            # It cannot be accepted any more, or names a version that does not exist; but it may have been accepted
+            # before.
             return await self._ask(ROUTING_KEY, "outcome", {"based_on": based_on, "fingerprint": fingerprint})
         changed = self._dialect.with_version(
             apply_patch(document or {}, patch["upsert"], patch["remove"]), patch["version"]
         )
         version = self._check(changed)
         previous, pieces = pieces_of(document) if document is not None else {}, pieces_of(changed)
-        # Compared as they are kept: to Python 1, 1.0 and true are all the same.
+        # Compared in their stored form, because Python considers 1, 1.0 and True equal.
         pieces = dict.fromkeys(previous.keys() - pieces.keys()) | {
             name: value
             for name, value in pieces.items()
             if name not in previous or pack_json(previous[name]) != pack_json(value)
         }
-        return await self._take("change", based_on, version, fingerprint, pieces=pieces)
+        return await self._submit("change", based_on, version, fingerprint, pieces=pieces)
 
-    async def _take(self, command, based_on, version, fingerprint, **more):
+    async def _submit(self, command, based_on, version, fingerprint, **more):
         arguments = {"based_on": based_on, "version": version, "fingerprint": fingerprint} | more
-        if len(pack_json(arguments)) > FRAME_LIMIT - FRAME_ROOM:
+        if len(pack_json(arguments)) > FRAME_LIMIT - FRAME_OVERHEAD:
             raise TooLargeError("the configuration is too large")
-        taken = await self._ask(ROUTING_KEY, command, arguments)
-        self._node.log.info("routing_change_committed", version=taken["version"], based_on=based_on, by=command)
-        return taken
+        accepted = await self._ask(ROUTING_KEY, command, arguments)
+        self._node.log.info("routing_change_committed", version=accepted["version"], based_on=based_on, by=command)
+        return accepted
 
-    # --- machines to be emptied ---
+    # --- machines to be drained ---
 
     async def _retire(self, call):
         read_document(call.request.content.read() or b"{}")
