--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -874,7 +874,7 @@
         "control/oakramp/control/voter.py",
         "return VOTING_CONFIG_IS_NEW not in self._ring.table and not self.may_hold_lease",
         "return not self.may_hold_lease",
-        "test_founding.Mending.test_who_may_hold_a_lease_is_waited_for",
+        "test_founding.Repair.test_a_lease_that_may_be_held_is_waited_for",
     ),
     CodeMutation(
         "a kept roster is told in the news again",
@@ -895,7 +895,7 @@
         "rpc/oakramp/rpc/endpoint.py",
         "if wanted not in (None, found):",
         "if False:",
-        "test_founding.Mending.test_empty_disk_does_not_stand_for_its_previous_self",
+        "test_founding.Repair.test_an_empty_disk_does_not_vote_for_its_previous_incarnation",
     ),
     CodeMutation(
         "epochs promised once",
@@ -909,14 +909,14 @@
         "control/oakramp/control/publication.py",
         "if leader.ended:\n            return  # ended",
         "if False:\n            return  # ended",
-        "test_founding.Mending.test_given_shard_is_not_published_again",
+        "test_founding.Repair.test_a_shard_that_was_given_up_is_not_published_again",
     ),
     CodeMutation(
         "what is founded is kept until it is done",
         "membership/oakramp/membership/identity.py",
         'self.founding = kept.get("founding")',
         "self.founding = founding",
-        "test_founding.Founding.test_power_cut_of_all_seeds_amid_founding",
+        "test_founding.Bootstrap.test_power_cut_of_all_seeds_during_bootstrap",
     ),
     CodeMutation(
         "the place of a silent member is kept free",
@@ -926,7 +926,7 @@
             "node.gossip_client.answers_lately(answering[node_id].peer, VOTING_CONFIG_HEARD)"
         ),
         "if False",
-        "test_founding.Mending.test_empty_machine_at_a_new_address",
+        "test_founding.Repair.test_empty_machine_at_a_new_address",
     ),
     CodeMutation(
         "a lapsed lease starts a take-over",
