--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1272,21 +1272,21 @@
         "store/oakramp/store/anti_entropy.py",
         "STORE_CALL_TIME, to=store.node_id,",
         "STORE_CALL_TIME,",
-        "test_second_loss.FormerSelf.test_copy_of_itself_is_no_copy",
+        "test_second_loss.PreviousIncarnation.test_a_copy_from_its_own_address_does_not_count",
     ),
     CodeMutation(
         "a write names the store it is for",
         "store/oakramp/store/store_node.py",
         "peer, method, STORE_CALL_TIME, to=node_id, key=key",
         "peer, method, STORE_CALL_TIME, key=key",
-        "test_second_loss.FormerSelf.test_its_copy_does_not_count_twice",
+        "test_second_loss.PreviousIncarnation.test_a_write_to_it_does_not_count_for_its_previous_id",
     ),
     CodeMutation(
         "no retirement before there is a store set",
         "control/oakramp/control/store_membership.py",
         'raise QuorumUnavailableError("the first store membership has not been formed yet", retry_after=1)',
         "pass",
-        "test_second_loss.Retiring.test_order_before_the_set_is_formed",
+        "test_second_loss.Retiring.test_an_order_before_the_set_is_formed_is_retriable",
     ),
     CodeMutation(
         "a lost store's place is given away before the next may be lost",
@@ -1307,7 +1307,7 @@
         "store/oakramp/store/store_node.py",
         "await self._give_place_away()",
         "pass",
-        "test_second_loss.ReplacedStore.test_serves_on_until_the_spare_has_all",
+        "test_second_loss.ReplacedStore.test_a_stopping_store_serves_until_the_spare_is_complete",
     ),
     CodeMutation(
         "hand-over of slots and quiet stop",
