--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -586,7 +586,7 @@
         "cli/oakramp/cli/control_client.py",
         '"overloaded") and not unsure:',
         '"overloaded"):',
-        "test_api.Asking.test_unknown_is_never_no",
+        "test_api.CommandLine.test_an_unknown_outcome_is_never_reported_as_no",
     ),
     CodeMutation(
         "settling goes on until it is done",
