--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -60,12 +60,12 @@
         )
         self.node.watch_storage(self.ring)
         self.voter = Voter(self.node, self.ring)
-        self.client = ShardClient(self.node, lambda address: not self.node.gossip_client.answers_lately(address))
+        self.client = ShardClient(self.node, lambda address: not self.node.gossip_client.has_replied_recently(address))
         self.leaders = LeaderRegistry(self.node, self.voter)
         self.majority_client = MajorityClient(self.node, self.voter, self.leaders, self.client)
         self.lapses = LeaseExpiryWatch(self.node, self.voter, self.leaders)
-        self.node.gossip_client.carry_leases(LeaseRenewalPiggyback(self.leaders, self.node))
-        self.node.gossip_client.confirm_leases(self.voter.confirm_leases)
+        self.node.gossip_client.set_lease_piggyback(LeaseRenewalPiggyback(self.leaders, self.node))
+        self.node.gossip_client.set_lease_voter(self.voter.confirm_leases)
         self.platform = (
             ReplicaDiscovery(self.node, self.leaders, self.voter, env["platform"], dialect)
             if env.get("platform")
@@ -156,7 +156,7 @@
     async def stop(self):
         """Tells other nodes, hands the shards over, finishes requests under way and stops."""
         self._starting.cancel()
-        await self.node.gossip_client.say_leaving()
+        await self.node.gossip_client.announce_leaving()
         if self.platform:
             self.platform.stop()
         for part in self._fenced_components():
--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -276,7 +276,7 @@
         return {
             node_id
             for node_id, address in self._registry.voter_addresses().items()
-            if self._node.gossip_client.is_answered_by(node_id, address)
+            if self._node.gossip_client.has_replied_as(node_id, address)
         }
 
     def _has_just_started(self) -> bool:
@@ -293,7 +293,7 @@
     def _asking_voters(self) -> set[str]:
         """Node ids of the voters from which this node has recently received gossip requests."""
         return {
-            node_id for node_id in self._voter.voting_config.everyone if self._node.gossip_client.is_asked_by(node_id)
+            node_id for node_id in self._voter.voting_config.everyone if self._node.gossip_client.was_pulled_by(node_id)
         }
 
     def _report_partitioned(self, is_partitioned: bool) -> None:
--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -213,7 +213,7 @@
     def _answers_lately(self, address: str | None) -> bool:
         if address in (None, self._node.net.address):
             return False
-        return self._node.gossip_client.answers_lately(address, VOTING_CONFIG_HEARD)
+        return self._node.gossip_client.has_replied_recently(address, VOTING_CONFIG_HEARD)
 
     async def _cleanup(self) -> None:
         """Removes expired entries of each shard: one page of its keys, as one command."""
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -82,4 +82,4 @@
         """Whether this node has answered a gossip request within SUSPECT_SILENT: then its process is running, even if a
         majority may not confirm its lease."""
         address = self._registry.voter_addresses().get(node_id)
-        return address is not None and self._node.gossip_client.is_answered_by(node_id, address, SUSPECT_SILENT)
+        return address is not None and self._node.gossip_client.has_replied_as(node_id, address, SUSPECT_SILENT)
--- a/packages/control/oakramp/control/membership_repair.py
+++ b/packages/control/oakramp/control/membership_repair.py
@@ -184,7 +184,7 @@
         answering = {
             member.node_id: member
             for member in node.members.live("control")
-            if node.gossip_client.answers_lately(member.peer, VOTING_CONFIG_ANSWERED)
+            if node.gossip_client.has_replied_recently(member.peer, VOTING_CONFIG_ANSWERED)
         }
         present = {
             node_id
@@ -218,7 +218,7 @@
             node_id
             for node_id, peer in voting_config.members.items()
             if node_id not in present
-            or not node.gossip_client.answers_lately(answering[node_id].peer, VOTING_CONFIG_HEARD)
+            or not node.gossip_client.has_replied_recently(answering[node_id].peer, VOTING_CONFIG_HEARD)
         ]
         joining = {node_id for node_id, since in self._new_since.items() if now - since >= VOTING_CONFIG_JOINING}
         wanted = repaired_members(
--- a/packages/control/oakramp/control/prepare_phase.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -171,7 +171,7 @@
         if not previous_epoch or previous_epoch == released_epoch:
             return
         unconfirmed_s = min(promise.unconfirmed_ms or 0 for promise in self._promises.values()) / 1000
-        answered = self._node.gossip_client.on_answer
+        answered = self._node.gossip_client.on_reply
         answered.add(self._update_possible_holders)
         try:
             self._update_possible_holders()
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -331,7 +331,7 @@
 
     async def await_update(self, voter, change):
         """Returns once an update has brought this change to a stalled voter."""
-        if not self._gossip_client.answers_lately(voter.address):
+        if not self._gossip_client.has_replied_recently(voter.address):
             raise OutcomeUnknownError("the voter has not answered gossip requests recently")
         reached = self._update_to(voter, change.voting_config_version, change.leader, change.sequence)
         await within(self._reactor, CALL_TIME, reached, OutcomeUnknownError("the update of the voter timed out"))
@@ -344,7 +344,7 @@
             late = [voter for voter in voters if progress.is_behind(voter.node_id)]
             self.behind += len(late)
             for voter in late:
-                if self._gossip_client.answers_lately(voter.address):
+                if self._gossip_client.has_replied_recently(voter.address):
                     spawn(self._update_to(voter, voting_config_version, leader, progress.newest))
             progress.newest_at_poll = progress.newest
             if progress.is_superseded([voter.node_id for voter in voters], self._seconds()):
@@ -396,7 +396,7 @@
         has_waited = lock.locked
         await lock.acquire()
         try:
-            if has_waited and not self._gossip_client.answers_lately(voter.address):
+            if has_waited and not self._gossip_client.has_replied_recently(voter.address):
                 raise QuorumUnavailableError("the voter does not answer gossip requests")
             await self._transfer_snapshot(voter, voting_config_version, leader, progress)
         finally:
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -191,5 +191,5 @@
         """Seconds after which a voter that has not answered counts as unreachable: twice the time that a majority took to
         answer its last gossip requests. If answers that are merely late counted as missing, every node would reject the
         operator's command."""
-        took = sorted(self._node.gossip_client.last_answer_took(address) for address in voter_addresses.values())
+        took = sorted(self._node.gossip_client.last_reply_time(address) for address in voter_addresses.values())
         return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))
--- a/packages/gateway/oakramp/gateway/gateway_node.py
+++ b/packages/gateway/oakramp/gateway/gateway_node.py
@@ -68,7 +68,7 @@
         self.web.listen()
 
     async def stop(self):
-        await self.node.gossip_client.say_leaving()
+        await self.node.gossip_client.announce_leaving()
         await self.web.stop()
         await self.wait_settled(SETTLE_TIME)
         self.load_balancer.stop()
--- a/packages/gateway/oakramp/gateway/outliers.py
+++ b/packages/gateway/oakramp/gateway/outliers.py
@@ -148,7 +148,7 @@
         if counts == self._published["counts"] or now - self._published["at"] < OUTLIER_TELL:
             return
         self._published = {"at": now, "counts": counts}
-        self._node.gossip_client.tell(FAULTS, json.dumps(counts).encode() if counts else None)
+        self._node.gossip_client.publish_item(FAULTS, json.dumps(counts).encode() if counts else None)
 
     def _on_peer_update(self, source):
         value = self._node.state_table.values(source).get(FAULTS)
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -148,7 +148,7 @@
         ends_at = self.node.reactor.seconds() + self._grace_s - STOP_MARGIN
         self.stopping = True
         self.front.stopping = True
-        await self.node.gossip_client.say_leaving()
+        await self.node.gossip_client.announce_leaving()
         await sleep(self.node.reactor, READY_DRAIN)
         if self.demand:
             self.demand.stop()
--- a/packages/gossip/oakramp/gossip/__init__.py
+++ b/packages/gossip/oakramp/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Images and deltas, pulled by a vector of versions."""
+"""Pull-based gossip of replicated state: snapshots and deltas, selected by a vector of versions."""
--- a/packages/gossip/oakramp/gossip/daemon.py
+++ b/packages/gossip/oakramp/gossip/daemon.py
@@ -1,4 +1,4 @@
-"""The shell of every daemon: env, disk, signals, graceful stop, exit code."""
+"""Runs a daemon: settings, disk, signals, graceful stop and exit code."""
 
 import gc
 import os
@@ -17,12 +17,14 @@
 
 
 def run_daemon(program, rules, description, build):
-    """`build(reactor, env, disk, random, sink)` gives a node with start() and a coroutine stop()."""
+    """Runs the node of a program with settings from the environment.
+
+    `build(reactor, env, disk, random, sink)` returns a node with start() and a coroutine stop()."""
     run_node(program, settings_of_daemon(program, rules, description), build)
 
 
 def run_from(program, source, build):
-    """The same with settings from `source`, which has a `path` and a read() that raises SettingsError."""
+    """Like run_daemon(), with settings from `source`, which has a `path` and a read() that raises SettingsError."""
     try:
         env = source.read()
     except SettingsError as error:
@@ -33,16 +35,17 @@
 
 
 class SettingsWatch:
-    """Follows an env that may change while the node runs, with or without a signal.
+    """Reloads settings that may change while the node runs, with or without a signal.
 
-    Invariant: `env` is the newest that could be read; one that cannot be read changes nothing and is told once."""
+    Invariant: `env` is the newest that could be read; settings that cannot be read change nothing and are logged once.
+    """
 
     def __init__(self, node, source, env, stat=os.stat):
         self._node, self._source, self._stat, self.env = node, source, stat, env
-        self._seen = self._stamp()
+        self._loaded_version = self._file_version()
         self._faults = None
 
-    def _stamp(self):
+    def _file_version(self):
         try:
             found = self._stat(self._source.path)
         except OSError:
@@ -50,13 +53,13 @@
         return found.st_mtime_ns, found.st_size, found.st_ino
 
     async def poll(self):
-        """Reads the settings again if their file has changed."""
-        if self._stamp() != self._seen:
-            self.read_again()
+        """Reloads the settings if their file has changed."""
+        if self._file_version() != self._loaded_version:
+            self.reload()
 
-    def read_again(self):
-        """Reads the settings again and tells the node what changed."""
-        self._seen = self._stamp()
+    def reload(self):
+        """Reloads the settings, and passes them to the node if they differ."""
+        self._loaded_version = self._file_version()
         log = self._node.node.log
         try:
             env = self._source.read()
@@ -76,7 +79,7 @@
 
 
 def run_node(program, env, build, source=None):
-    """Runs the node of this env until it is told to stop; `source` is read again when it has changed."""
+    """Runs the node of this env until a signal stops it; `source` is reloaded when its file changes."""
     reactor = monotonic_reactor()
     skip_unused_record_fields()
     sink = stderr_sink(env.get("logLevel") or LEVELS[0], env.get("logFormat") or FORMATS[0])
@@ -92,16 +95,16 @@
         node.start()
     except BaseException as error:
         if disk is not None:
-            disk.close()  # its thread would keep a process alive that serves nothing
+            disk.close()  # otherwise its thread would keep the process alive, which serves nothing
         if not isinstance(error, (OakrampError, OSError, CannotListenError)):
             raise
         print(f"{program}: cannot start: {error}", file=sys.stderr)
         sys.exit(1)
-    # What a program is made of lives as long as it does. Looking through all of it for what may go stopped everything
-    # for some 30 ms, about each ten seconds.
+    # Objects made at the start live as long as the process. Without the freeze, a full garbage collection scans them
+    # all, which stopped the process for about 30 ms, roughly every ten seconds.
     gc.freeze()
     gc.enable()
-    stops = []
+    received_signals = []
     grace = (env.get("bounds") or {}).get("grace_s")
     stop_time = STOP_TIME if grace is None else max(grace - STOP_MARGIN, grace / 2)
 
@@ -112,9 +115,9 @@
             reactor.stop()
 
     def on_signal(*_):
-        # A second signal ends it at once.
-        stops.append(True)
-        if len(stops) > 1:
+        # A second signal stops the process at once.
+        received_signals.append(True)
+        if len(received_signals) > 1:
             reactor.callFromThread(reactor.stop)
             return
         reactor.callFromThread(spawn, stop(), node.node.log)
@@ -123,5 +126,5 @@
     if source is not None:
         watch = SettingsWatch(node, source, env)
         Repeater(reactor, ENV_POLL, watch.poll, node.node.log).start()
-        reactor.callWhenRunning(signal.signal, signal.SIGHUP, lambda *_: reactor.callFromThread(watch.read_again))
+        reactor.callWhenRunning(signal.signal, signal.SIGHUP, lambda *_: reactor.callFromThread(watch.reload))
     reactor.run()
--- a/packages/gossip/oakramp/gossip/damaged_node.py
+++ b/packages/gossip/oakramp/gossip/damaged_node.py
@@ -1,9 +1,9 @@
-"""What stands in for a node whose disk lost something that it had confirmed.
+"""Replaces a node whose disk has lost data that was already confirmed.
 
-Such a node must not take part in anything: its promises of before may be gone. Nor should it end, be started again and
-read its whole disk once more, for ever. It stays, says at GET /condition what is wrong, changes nothing in its folder,
-and waits for an operator. To the others it is a node that is down, so a store set with a spare and enough copies
-replaces it.
+Such a node must not take part in anything, since its earlier promises may be lost. Exiting would not help either: the
+process would be restarted and read its whole disk again, in an endless loop. So it keeps running, reports at GET
+/condition what is wrong, changes nothing in its folder, and waits for an operator. To other nodes it is down, so a
+store set that has a spare node and enough copies replaces it.
 """
 
 from oakramp.common.constants import ACCEPT_QUEUE_LIMIT
@@ -12,7 +12,9 @@
 
 
 class DamagedNode:
-    """Invariant: it opens no port but that of its HTTP address, and writes nothing to its disk."""
+    """Serves GET /condition only.
+
+    Invariant: it opens no port but that of its HTTP address, and writes nothing to its disk."""
 
     def __init__(self, reactor, env, sink, error):
         self._env, self._reason = env, error.reason
@@ -22,11 +24,11 @@
 
     @property
     def node(self):
-        """The node itself, as the daemon expects of a composed node."""
+        """This object itself; the daemon expects a `node` attribute."""
         return self
 
     def settings_changed(self, _env):
-        """Nothing here follows them."""
+        """Ignores the change: nothing here depends on settings that change at run time."""
 
     async def _condition(self, _call):
         return 200, {"condition": "damaged", "machine": self._env["machine"], "reason": self._reason}
--- a/packages/gossip/oakramp/gossip/member_state.py
+++ b/packages/gossip/oakramp/gossip/member_state.py
@@ -1,7 +1,7 @@
-"""The state in which a node publishes itself: able to serve, without a majority, or with a disk that refuses writes.
+"""The state that a node publishes of itself: able to serve, without a majority, or with a disk that refuses writes.
 
-Several parts of a node know a reason why it should be passed over. Each reports its own; this module publishes the
-state that follows from all of them, in the node's own member row.
+Several parts of a node detect reasons why others should not use it. Each reports its own reason; this module publishes
+the resulting state in the node's own member row.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 class MemberStatePublisher:
     """Publishes this node's state whenever a report changes it.
 
-    A node that is leaving stays so. A storage fault is published before a partition: it is what an operator has to
-    mend, and a node with either is passed over alike.
+    A node that is leaving stays so. A storage fault takes precedence over a partition: it is the one that an operator
+    has to repair, and other nodes skip a node with either in the same way.
     """
 
     def __init__(self, gossip_client: GossipClient, log: EventLogger) -> None:
@@ -30,7 +30,7 @@
         self._has_storage_fault = False
 
     def report_partitioned(self, is_partitioned: bool) -> None:
-        """Takes in whether this node reaches a majority of the voters."""
+        """Reports whether this node is cut off from the majority of the voters."""
         if is_partitioned == self._is_partitioned:
             return
         self._is_partitioned = is_partitioned
@@ -38,7 +38,7 @@
         self._log.info("member_partitioned" if is_partitioned else "member_rejoined")
 
     def report_storage_fault(self, has_storage_fault: bool) -> None:
-        """Takes in whether this node's disk refuses writes."""
+        """Reports whether this node's disk refuses writes."""
         if has_storage_fault == self._has_storage_fault:
             return
         self._has_storage_fault = has_storage_fault
--- a/packages/gossip/oakramp/gossip/node.py
+++ b/packages/gossip/oakramp/gossip/node.py
@@ -1,5 +1,7 @@
-"""What every daemon is made of: identity, peer connections, members and news. The programs and the
-simulator compose their nodes from here."""
+"""The parts of every daemon: identity, peer connections, members and gossip.
+
+The programs and the simulator build their nodes from these.
+"""
 
 import time
 
@@ -17,7 +19,7 @@
 
 
 class WallClock:
-    """Watches the wall clock against the monotonic one. It decides nothing; it is for the operator's eyes."""
+    """Compares the wall clock with the monotonic one. Nothing depends on it; it only informs the operator."""
 
     def __init__(self, reactor, log, wall):
         self._reactor, self._log, self._wall = reactor, log, wall
@@ -36,7 +38,7 @@
 
 
 class Node:
-    """The parts that every daemon has, composed."""
+    """Builds and connects the parts that every daemon has."""
 
     def __init__(self, reactor, kind, env, random, sink, disk=None, wall=time.time, founding=None):
         self.reactor, self.kind, self.env, self.random, self.disk = reactor, kind, env, random, disk
@@ -65,11 +67,11 @@
         self._env_watchers = []
 
     def watch_env(self, watcher):
-        """`watcher(env)` is called with each env that replaces the one before while the node runs."""
+        """Calls `watcher(env)` with each env that replaces the previous one while the node runs."""
         self._env_watchers.append(watcher)
 
     def watch_storage(self, circular_log):
-        """Publishes from now on whether this node's log takes writes."""
+        """Publishes, from now on, whether this node's log accepts writes."""
 
         def report():
             self.member_state.report_storage_fault(circular_log.broken is not None)
@@ -77,14 +79,14 @@
         circular_log.on_fault_change.add(report)
 
     def settings_changed(self, env):
-        """What can change at run time is taken; the rest holds from the next start on."""
+        """Applies the settings that can change at run time; the others take effect at the next start."""
         self.env = env
-        self.gossip_client.take_seeds(env["seeds"])
+        self.gossip_client.set_seeds(env["seeds"])
         for watcher in self._env_watchers:
             watcher(env)
 
     def condition(self):
-        """What every daemon says of itself, whatever else it says."""
+        """The fields of GET /condition that every daemon reports, whatever its kind."""
         return {
             "nodeId": self.node_id,
             "machine": self.env["machine"],
@@ -94,12 +96,12 @@
             "clusterId": self.net.cluster_id,
             "release": RELEASE,
             "wireVersion": WIRE_VERSION,
-            "seeds": {seed: self.gossip_client.answers_lately(seed, SEED_AGE) for seed in self.env["seeds"]},
+            "seeds": {seed: self.gossip_client.has_replied_recently(seed, SEED_AGE) for seed in self.env["seeds"]},
             "clock": {"jumps": self.wall_clock.jumps, "lastJump": round(self.wall_clock.last_jump, 3)},
         }
 
     def start(self):
-        """Listens to other nodes and joins the gossip."""
+        """Listens for connections from other nodes and starts gossip."""
         self.net.listen()
         self.wall_clock.repeater.start()
         self.gossip_client.start()
@@ -113,7 +115,7 @@
         )
 
     async def stop(self):
-        """Leaves the gossip, closes connections and the disk."""
+        """Stops gossip, and closes the connections and the disk."""
         self.gossip_client.stop()
         self.wall_clock.repeater.stop()
         await self.net.stop()
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -480,7 +480,7 @@
         self._is_stopping = True
         if self._starting_over is not None:
             await self._starting_over
-        await self.node.gossip_client.say_leaving()
+        await self.node.gossip_client.announce_leaving()
         await self._give_place_away()
         await self.web.stop()
         self.store.stop()
--- a/packages/testbed/oakramp/testbed/ablation.py
+++ b/packages/testbed/oakramp/testbed/ablation.py
@@ -64,7 +64,7 @@
         "shared outlier reports",
         "gateways find a failing replica together",
         "gateway/oakramp/gateway/outliers.py",
-        "self._node.gossip_client.tell(FAULTS, json.dumps(counts).encode() if counts else None)",
+        "self._node.gossip_client.publish_item(FAULTS, json.dumps(counts).encode() if counts else None)",
         "pass",
     ),
     Ablation(
@@ -113,7 +113,7 @@
         "leases along with gossip",
         "no call of its own for each renewal",
         "control/oakramp/control/control_node.py",
-        "        self.node.gossip_client.carry_leases(LeaseRenewalPiggyback(self.leaders, self.node))\n",
+        "        self.node.gossip_client.set_lease_piggyback(LeaseRenewalPiggyback(self.leaders, self.node))\n",
         "",
     ),
     Ablation(
--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -372,15 +372,15 @@
 
 def _pull_cost(state_table, me):
     """A pull in which nothing has moved: bytes of both messages, processor milliseconds of both sides."""
-    seen = state_table.seen()
+    seen = state_table.known_versions()
     asked_bytes = pack(idl.pull_args(seen=seen, me=me))
-    answer_bytes = pack(idl.pull_result(success=state_table.news_for(seen)))
+    answer_bytes = pack(idl.pull_result(success=state_table.update_for(seen)))
 
     def ask():
-        pack(idl.pull_args(seen=state_table.seen(), me=me))
+        pack(idl.pull_args(seen=state_table.known_versions(), me=me))
 
     def serve():
-        pack(idl.pull_result(success=state_table.news_for(unpack(idl.pull_args, asked_bytes).seen)))
+        pack(idl.pull_result(success=state_table.update_for(unpack(idl.pull_args, asked_bytes).seen)))
 
     def take():
         state_table.merge(unpack(idl.pull_result, answer_bytes).success, seen, 0.0)
@@ -472,7 +472,7 @@
     row |= {
         "owner ms for a change": round(1000 * (thread_time() - began), 2),
         "B to each voter": entry.written(changes),
-        "news B of a change": len(pack(state_table.news_for(seen))),
+        "news B of a change": len(pack(state_table.update_for(seen))),
     }
     return row
 
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -703,7 +703,7 @@
     CodeMutation(
         "an heir that was behind gives whole images",
         "gossip/oakramp/gossip/state_table.py",
-        "        if is_taken_up and snapshot.version:\n",
+        "        if is_taken_over and snapshot.version:\n",
         "        if False:\n",
         "test_news_takeover.TakeOver.test_new_owner_that_had_not_heard_of_a_version_which_others_have",
     ),
@@ -923,7 +923,7 @@
         "control/oakramp/control/membership_repair.py",
         (
             "if node_id not in present\n            or not "
-            "node.gossip_client.answers_lately(answering[node_id].peer, VOTING_CONFIG_HEARD)"
+            "node.gossip_client.has_replied_recently(answering[node_id].peer, VOTING_CONFIG_HEARD)"
         ),
         "if False",
         "test_founding.Repair.test_empty_machine_at_a_new_address",
@@ -1462,15 +1462,15 @@
     CodeMutation(
         "all peers are asked while a control node owes an answer",
         "gossip/oakramp/gossip/gossip_client.py",
-        "is_unsure = not control or any(address in self._pulling or address in self._silent for address in control)",
-        "is_unsure = not control",
+        "asks_all = not control or any(address in self._pulling or address in self._silent for address in control)",
+        "asks_all = not control",
         "test_gossip_peers.Round.test_all_peers_are_asked_while_the_control_node_owes_an_answer",
     ),
     CodeMutation(
         "all peers are asked while something is not confirmed",
         "gossip/oakramp/gossip/gossip_client.py",
-        "is_unsure or self._state_table.oldest_age(NODE_SOURCE) > UNCONFIRMED_AGE",
-        "is_unsure",
+        "asks_all or self._state_table.oldest_age(NODE_SOURCE) > UNCONFIRMED_AGE",
+        "asks_all",
         "test_gossip_peers.Round.test_all_peers_are_asked_while_something_published_is_not_confirmed",
     ),
     CodeMutation(
@@ -1504,8 +1504,8 @@
     CodeMutation(
         "who answers at a voter's address need not be that voter",
         "control/oakramp/control/failover.py",
-        "if self._node.gossip_client.is_answered_by(node_id, address)",
-        "if self._node.gossip_client.answers_lately(address)",
+        "if self._node.gossip_client.has_replied_as(node_id, address)",
+        "if self._node.gossip_client.has_replied_recently(address)",
         "test_recovery.WhoAnswers.test_another_node_at_a_voters_address_is_not_that_voter",
     ),
     CodeMutation(
--- a/packages/testbed/oakramp/testbed/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -83,16 +83,16 @@
     def __init__(self, world, process):
         self._world, self._name = world, process.name
         self.me = ModelMember(process.node_id, process.machine.address, process.machine.name)
-        self.on_answer = set()
+        self.on_reply = set()
 
-    def answers_lately(self, address, lately=0.0):
+    def has_replied_recently(self, address, within_s=0.0):
         return self._world.is_answering(self._name, address)
 
-    def is_answered_by(self, node_id, address, lately=0.0):
+    def has_replied_as(self, node_id, address, within_s=0.0):
         answering = self._world.machine_of(node_id)
-        return answering is not None and answering.address == address and self.answers_lately(address)
+        return answering is not None and answering.address == address and self.has_replied_recently(address)
 
-    def is_asked_by(self, node_id, lately=0.0):
+    def was_pulled_by(self, node_id, within_s=0.0):
         asker = self._world.machine_of(node_id)
         return asker is not None and self._world.is_answering(asker.name, self.me.peer)
 
@@ -219,14 +219,14 @@
     async def _pull(self, address):
         self.piggyback.begin_round()
         leases, confirmed = self.piggyback.renewal_for(address) or (None, None)
-        seen, asked_at = self.state_table.seen(), self.clock.seconds()
+        seen, asked_at = self.state_table.known_versions(), self.clock.seconds()
         news = await self.net.call(address, "pull", 0.8, seen=seen, leases=leases)
         if confirmed is not None and news.confirmed is not None:
             confirmed(news.confirmed)
         self.state_table.merge(news, seen, asked_at)
 
     async def _serve_pull(self, peer, arguments):
-        news = self.state_table.news_for(arguments.seen or [])
+        news = self.state_table.update_for(arguments.seen or [])
         if arguments.leases is not None:
             news.confirmed = self.voter.confirm_leases(peer, arguments.leases)
         return news
