--- a/packages/rpc/oakramp/rpc/__init__.py
+++ b/packages/rpc/oakramp/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Framed Thrift connections between the system's own processes."""
+"""Calls between the nodes of a cluster, as Thrift structs in frames over TCP."""
--- a/packages/rpc/oakramp/rpc/generate_messages.py
+++ b/packages/rpc/oakramp/rpc/generate_messages.py
@@ -1,7 +1,7 @@
 """Writes messages.py from messages.thrift: `python -m oakramp.rpc.generate_messages`.
 
-Parsing the IDL took a tenth of a daemon's start, and all daemons start at once after a power loss. A test holds that
-messages.py is what this module writes.
+Parsing the IDL at run time took a tenth of a daemon's start time, and all daemons start at once after a power loss. A
+test checks that messages.py is what this module writes.
 """
 
 import os
--- a/packages/rpc/oakramp/rpc/hedged_dial.py
+++ b/packages/rpc/oakramp/rpc/hedged_dial.py
@@ -1,8 +1,8 @@
-"""A connection attempt that does not wait for a lost opening packet.
+"""Connects with hedged attempts, so that a lost SYN packet does not delay the connection.
 
-TCP sends an opening packet again after a second. A peer that has just been given its power back, or whose queue of new
-connections was full for a moment, would be reached that much later. So a further attempt is begun beside those that
-have not been answered, each DIAL_HEDGE seconds; the first connection that stands is taken and the others are dropped.
+TCP retransmits a SYN after one second. A peer that has just regained power, or whose accept queue was briefly full,
+would be reached that much later. So another attempt is started every DIAL_HEDGE seconds beside those in progress; the
+first connection that is established is used, and the others are dropped.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class HedgedDial:
-    """One connection to come.
+    """One connection that is being established.
 
     Invariants: `_attempts` are those whose outcome counts; once `outcome` has fired there are none, no timer is set,
     and every further connection has been aborted.
     """
 
     def __init__(self, reactor: Any, begin_attempt: Callable[[float], Deferred], seconds: float) -> None:
-        """`begin_attempt(seconds)` begins an attempt that fails after so long; all of them end within `seconds`."""
+        """`begin_attempt(seconds)` starts an attempt with that timeout; all attempts end within `seconds`."""
         self._reactor = reactor
         self._begin_attempt = begin_attempt
         self._ends_at = reactor.seconds() + seconds
@@ -33,11 +33,11 @@
         self.outcome: Deferred = Deferred(lambda _outcome: self._drop_attempts())
 
     def start(self) -> Deferred:
-        """Begins the first attempt.
+        """Starts the first attempt.
 
         Returns:
-            the first connection that stands. Fails as the first attempt that fails does: a peer that refuses is there,
-            and the attempt that began first is the first one to run out of time.
+            the first connection that is established. Fails with the error of the first attempt that fails: a peer that
+            refuses a connection is up, and the attempt that started first is the first one to time out.
         """
         self._attempt()
         return self.outcome
@@ -62,7 +62,7 @@
         self.outcome.callback(connection)
 
     def _failed(self, failure: Failure, attempt: Deferred) -> None:
-        if attempt not in self._attempts:  # it was dropped
+        if attempt not in self._attempts:  # it was cancelled
             return
         self._attempts.remove(attempt)
         self._drop_attempts()
