--- a/packages/membership/oakramp/membership/__init__.py
+++ b/packages/membership/oakramp/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Node identity, rendezvous cohorts, condition and learnt addresses."""
+"""Node identity, members and their condition, choice of gossip peers, and saved addresses."""
--- a/packages/membership/oakramp/membership/identity.py
+++ b/packages/membership/oakramp/membership/identity.py
@@ -1,6 +1,9 @@
-"""Who a node is. A node id is minted when a data folder is empty and is on the disk before its first use;
-a node that lost its disk therefore comes back as somebody else. Only founders have ids that are not random, and
-only on the first start of a whole cluster."""
+"""The identity of a node.
+
+A node id is generated when the data folder is empty, and is on the disk before its first use; a node that has lost its
+disk therefore returns under a new id. Only the founders of a cluster have ids that are not random, and only at the
+first start of the whole cluster.
+"""
 
 import json
 
@@ -16,28 +19,28 @@
 
 
 class Identity:
-    """`nodeId`, `clusterId` (may be None) and learnt addresses, kept on the node's disk if it has one.
+    """`node_id`, `cluster_id` (may be None) and addresses of control nodes, saved on the node's disk if it has one.
 
-    Invariant: `founding` is what this node founds as long as that is not finished, and None ever after; while it is
-    set, `clusterId` is None."""
+    Invariant: `founding` describes the cluster that this node is bootstrapping until that is complete, and is None from
+    then on; while it is set, `cluster_id` is None."""
 
     def __init__(self, machine, random, disk=None, cluster_id=None, founding=None):
         self._disk = disk
-        kept = self._read()
-        self.is_new = kept is None
+        saved = self._read()
+        self.is_new = saved is None
         if self.is_new:
             self._refuse_orphaned_ring()
-        if kept is None:
-            kept = {
+        if saved is None:
+            saved = {
                 "nodeId": founding["nodeId"] if founding else mint_node_id(machine, random),
                 "clusterId": None if founding else cluster_id,
                 "addresses": [],
                 "founding": founding,
             }
-        self.founding = kept.get("founding")
-        self.node_id, self.cluster_id, self.addresses = kept["nodeId"], kept["clusterId"], kept["addresses"]
+        self.founding = saved.get("founding")
+        self.node_id, self.cluster_id, self.addresses = saved["nodeId"], saved["clusterId"], saved["addresses"]
         if self.is_new:
-            self._keep()
+            self._save()
 
     def _read(self):
         if self._disk is None or IDENTITY_FILE not in self._disk.names():
@@ -45,12 +48,12 @@
         return json.loads(self._disk.read(IDENTITY_FILE))
 
     def _refuse_orphaned_ring(self):
-        """The identity is on the disk before a ring is made, so a ring without one is another node's, whose name is
-        lost."""
+        """Rejects a folder with ring files but no identity. The identity is written before the ring is created, so
+        such a ring belongs to another node, whose id is lost."""
         if self._disk is not None and any(name.startswith(RING_PREFIX) for name in self._disk.names()):
-            raise StorageCorruptedError("the identity is missing, though a ring is there")
+            raise StorageCorruptedError("the identity is missing, but ring files exist")
 
-    def _keep(self):
+    def _save(self):
         if self._disk is not None:
             self._disk.replace(
                 IDENTITY_FILE,
@@ -65,25 +68,26 @@
             )
 
     def join_cluster(self, cluster_id, founded=False):
-        """A founder joins nothing but what it has founded."""
+        """Saves the cluster id. While it is bootstrapping a cluster, a founder joins no other one."""
         previous = self.cluster_id, self.founding
         if self.founding is not None and not founded:
             return
         self.cluster_id, self.founding = cluster_id, None
         try:
-            self._keep()
+            self._save()
         except OSError:
-            self.cluster_id, self.founding = previous  # tried again
+            self.cluster_id, self.founding = previous  # retried by the next call
             raise
 
     def learn(self, addresses):
-        """Addresses that answered, so that the seeds in the env may all be swapped one day."""
+        """Saves addresses of nodes that have replied, so that this node finds its cluster even if all seeds in the env
+        have been replaced."""
         previous = self.addresses
         if sorted(addresses) == previous:
             return
         self.addresses = sorted(addresses)
         try:
-            self._keep()
+            self._save()
         except OSError:
-            self.addresses = previous  # tried again at the next call
+            self.addresses = previous  # retried by the next call
             raise
--- a/packages/membership/oakramp/membership/rendezvous_hashing.py
+++ b/packages/membership/oakramp/membership/rendezvous_hashing.py
@@ -1,20 +1,20 @@
-"""Rendezvous hashing: who of the candidates is named for a key, with no table to agree on."""
+"""Rendezvous hashing: assigns candidates to a key without a shared table."""
 
 from hashlib import blake2b
 
 
 def score(candidate, key):
-    """The weight of a candidate for a key, as bytes to compare."""
+    """The weight of a candidate for a key, as bytes that are compared."""
     return blake2b(f"{candidate}\0{key}".encode(), digest_size=8).digest()
 
 
 def ranked(candidates, key):
-    """All candidates, the one named first in front."""
+    """All candidates, the highest weight first."""
     return sorted(candidates, key=lambda candidate: (score(candidate, key), candidate), reverse=True)
 
 
-def named(candidates, key, count):
-    """The first `count` candidates for a key."""
+def top_ranked(candidates, key, count):
+    """The `count` candidates with the highest weight for a key."""
     return ranked(candidates, key)[:count]
 
 
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -914,7 +914,7 @@
     CodeMutation(
         "what is founded is kept until it is done",
         "membership/oakramp/membership/identity.py",
-        'self.founding = kept.get("founding")',
+        'self.founding = saved.get("founding")',
         "self.founding = founding",
         "test_founding.Bootstrap.test_power_cut_of_all_seeds_during_bootstrap",
     ),
