--- a/packages/version_vectors/oakramp/version_vectors/__init__.py
+++ b/packages/version_vectors/oakramp/version_vectors/__init__.py
@@ -1,1 +1,1 @@
-"""Dotted version vectors: leq, sync, update and the opaque context."""
+"""Dotted version vectors: comparison, sync, update and the opaque context."""
--- a/packages/version_vectors/oakramp/version_vectors/causal_context.py
+++ b/packages/version_vectors/oakramp/version_vectors/causal_context.py
@@ -1,4 +1,4 @@
-"""The opaque context: a clock set as JSON-able rows and as text that a client only hands back."""
+"""The causal context: a set of version vectors, as JSON rows and as opaque text that a client only sends back."""
 
 import base64
 import json
@@ -12,7 +12,7 @@
 
 
 def clock_from_row(row):
-    """The version vector of a JSON row. Raises ValueError if it is none."""
+    """The version vector in a JSON row. Raises ValueError if the row is malformed."""
     if not isinstance(row, list) or any(
         not isinstance(part, list)
         or len(part) not in (2, 3)
@@ -20,7 +20,7 @@
         or any(type(number) is not int for number in part[1:])
         for part in row
     ):
-        raise ValueError("no clock")
+        raise ValueError("not the row of a version vector")
     return VersionVector({part[0]: part[1] if len(part) == 2 else (part[1], part[2]) for part in row})
 
 
@@ -31,10 +31,10 @@
 
 
 def from_context(text):
-    """The set of version vectors in a context. Raises ValueError if it is none."""
+    """The set of version vectors in a context. Raises ValueError if the text is malformed."""
     if not text:
         return frozenset()
     rows = json.loads(base64.urlsafe_b64decode(text))
     if not isinstance(rows, list):
-        raise ValueError("no context")
+        raise ValueError("the context is not a list of version vectors")
     return frozenset(clock_from_row(row) for row in rows)
--- a/packages/version_vectors/oakramp/version_vectors/version_vector.py
+++ b/packages/version_vectors/oakramp/version_vectors/version_vector.py
@@ -1,15 +1,15 @@
 """Dotted version vectors after Preguica, Baquero, Almeida, Fonte and Goncalves (section 5).
 
-A clock is a mapping id -> m or id -> (m, n): the events id_1..id_m, and for the pair also id_n.
-A clock set is a frozenset of clocks. Nothing here knows of oakramp, and nothing does I/O.
+A clock is a mapping id -> m or id -> (m, n): the events id_1..id_m, and for the pair also id_n. A clock set is a
+frozenset of clocks. This module depends on no other part of oakramp and does no I/O.
 """
 
 
 class VersionVector:
     """An immutable clock.
 
-    Invariants: every m >= 0; in a pair n > m; every id occurs once; a plain entry has m >= 1, since
-    (id, 0) stands for no event at all.
+    Invariants: every m >= 0; in a pair n > m; every id occurs once; an entry without a dot has m >= 1, since (id, 0)
+    represents no event at all.
     """
 
     __slots__ = ("entries", "_hash")
@@ -19,7 +19,7 @@
         for node_id, entry in dict(entries).items():
             ceiling, dot = entry if isinstance(entry, tuple) else (entry, None)
             if ceiling < 0 or (dot is not None and dot <= ceiling):
-                raise ValueError(f"no such component: {(node_id, entry)}")
+                raise ValueError(f"not a valid component of a version vector: {(node_id, entry)}")
             if dot is not None or ceiling > 0:
                 kept[node_id] = (ceiling, dot)
         self.entries = kept
@@ -39,12 +39,12 @@
         return "{" + ",".join(shown) + "}"
 
     def dot(self):
-        """The one event (id, n) that this clock's version stands for."""
+        """The event (id, n) of the version that this clock identifies."""
         return next((node_id, dot) for node_id, (_, dot) in self.entries.items() if dot is not None)
 
 
 def component_leq(left, right):
-    """The paper's clauses for two components of the same id."""
+    """Compares two components of the same id, by the clauses of the paper."""
     (m, n), (m2, n2) = left, right
     if n is None and n2 is None:
         return m <= m2
@@ -56,7 +56,7 @@
 
 
 def leq(left, right):
-    """Whether every component of `left` lies below some component of `right`."""
+    """Whether every component of `left` is covered by the component of `right` with the same id."""
     others = right.entries
     for node_id, component in left.entries.items():
         if node_id not in others or not component_leq(component, others[node_id]):
@@ -65,12 +65,12 @@
 
 
 def less(left, right):
-    """Strict order of the paper: at most, and not equal."""
+    """The strict order of the paper: less than or equal, and not equal."""
     return leq(left, right) and not leq(right, left)
 
 
 def sync(left_set, right_set):
-    """The clocks of either set that no clock of the other strictly dominates."""
+    """The clocks of both sets that no clock of the other set strictly dominates."""
     return frozenset(
         [x for x in left_set if not any(less(x, y) for y in right_set)]
         + [x for x in right_set if not any(less(x, y) for y in left_set)]
@@ -83,19 +83,19 @@
 
 
 def ceiling(clock_set, node_id):
-    """The largest number that the set holds for this id, 0 if none."""
+    """The largest event number in the set for this id, 0 if there is none."""
     return max(
         (m if n is None else n for clock in clock_set for m, n in [clock.entries.get(node_id, (0, None))]), default=0
     )
 
 
 def update(context_set, local_set, node_id):
-    """The clock of a new version written with this context at the replica node `nodeId`."""
+    """The clock of a new version written with this context at the replica `node_id`."""
     past = {other: ceiling(context_set, other) for other in ids(context_set) if other != node_id}
     return VersionVector(past | {node_id: (ceiling(context_set, node_id), ceiling(local_set, node_id) + 1)})
 
 
 def sync_versions(left_versions, right_versions):
-    """sync on mappings clock -> value; equal clocks stand for the same version."""
+    """sync() for mappings clock -> value; equal clocks identify the same version."""
     kept = sync(left_versions.keys(), right_versions.keys())
     return {clock: left_versions[clock] if clock in left_versions else right_versions[clock] for clock in kept}
