--- a/packages/rpc/oakramp/rpc/endpoint.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -257,7 +257,7 @@
             raise StaleEpochError("the peer is not a member of this cluster")
         arguments = arguments_class(frame.method)
         if arguments is None or frame.method not in self._net.handlers:
-            raise MethodNotFoundError(f"this node has no method {frame.method}")
+            raise MethodNotFoundError(f"method {frame.method} does not exist here")
         result = await self._net.handlers[frame.method](self.peer, unpack(arguments, frame.body))
         return pack(result_class(frame.method)(success=result))
 
@@ -268,7 +268,7 @@
             return
         if not isinstance(error, OakrampError):
             self._net.log.error("rpc_handler_crashed", method=frame.method, error=repr(error))
-            error = OakrampError(f"the handler of {frame.method} crashed")
+            error = OakrampError(f"{frame.method}: the handler crashed")
         self._send_error(frame, error)
 
     def _send_error(self, frame, error):
@@ -410,7 +410,7 @@
 
     async def _call_self(self, method, arguments):
         if method not in self.handlers:
-            raise MethodNotFoundError(f"this node has no method {method}")
+            raise MethodNotFoundError(f"method {method} does not exist here")
         return await self.handlers[method](self.hello(), arguments_class(method)(**arguments))
 
     async def _dial_again(self, address, previous):
