--- a/packages/testbed/oakramp/testbed/ablation.py
+++ b/packages/testbed/oakramp/testbed/ablation.py
@@ -127,7 +127,7 @@
         "other peers by turns",
         "fewer pulls while nothing is new",
         "gossip/oakramp/gossip/gossip_client.py",
-        "        if is_unsure or self._state_table",
+        "        if asks_all or self._state_table",
         "        if True or self._state_table",
     ),
 )
--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -95,7 +95,9 @@
 def wire_meter():
     """Counts the frames of all nodes in this process: gives node id -> Traffic, as long as it is open."""
     traffic, methods = {}, {}
-    original = {name: getattr(Connection, name) for name in ("call", "_answer", "_answered", "_serve", "sendString")}
+    original = {
+        name: getattr(Connection, name) for name in ("call", "_send_reply", "_handle_reply", "_serve", "sendString")
+    }
 
     def of(connection):
         return traffic.setdefault(connection._net.node_id, Traffic())
@@ -117,7 +119,7 @@
         method = serving.pop((self, frame.call_id), "none")
         methods[self] = method
         try:
-            original["_answer"](self, frame)
+            original["_send_reply"](self, frame)
         finally:
             methods.pop(self, None)
         of(self).asked[method] -= 1
@@ -131,15 +133,15 @@
     def answered(self, frame):
         method = self._in_flight.get(frame.call_id, (None, None, "late"))[2]
         of(self).received[method] += len(frame.body or b"") + FRAME_HEAD
-        original["_answered"](self, frame)
+        original["_handle_reply"](self, frame)
 
     serving, own = {}, set(vars(Connection))
     for name, function in (
         ("call", call),
         ("sendString", send_string),
-        ("_answer", answer),
+        ("_send_reply", answer),
         ("_serve", serve),
-        ("_answered", answered),
+        ("_handle_reply", answered),
     ):
         setattr(Connection, name, function)
     try:
--- a/packages/testbed/oakramp/testbed/rush.py
+++ b/packages/testbed/oakramp/testbed/rush.py
@@ -111,7 +111,7 @@
             random=random.Random(f"{self.seed}/{number}"),
             env={"zone": ZONES[number % len(ZONES)]},
             members=SimpleNamespace(live_count=lambda kind: self.scene.gateways),
-            gossip_client=SimpleNamespace(tell=lambda name, value: None, source=f"node/g{number}/1"),
+            gossip_client=SimpleNamespace(publish_item=lambda name, value: None, source=f"node/g{number}/1"),
         )
         balancer = Balancer(node, self.log)
         state_table.set_items(REPLICAS_KEY, 1, rows)
