--- a/packages/common/oakramp/common/http_channel.py
+++ b/packages/common/oakramp/common/http_channel.py
@@ -12,7 +12,7 @@
 
 from twisted.web import http
 
-from oakramp.common.constants import BODY_LIMIT, IDLE_CALLER_TIME, LINGER_TIME
+from oakramp.common.constants import BODY_LIMIT, IDLE_CLIENT_TIME, LINGER_TIME
 from oakramp.common.errors import TooLargeError
 from oakramp.common.validation import pack_json
 
@@ -88,7 +88,7 @@
     noisy = False
 
     def __init__(self, request_class: type[Request], reactor: Any) -> None:
-        super().__init__(timeout=IDLE_CALLER_TIME, reactor=reactor)
+        super().__init__(timeout=IDLE_CLIENT_TIME, reactor=reactor)
         self._request_class = request_class
 
     def buildProtocol(self, addr: IAddress) -> http.HTTPChannel:
--- a/packages/common/oakramp/common/wall_clock.py
+++ b/packages/common/oakramp/common/wall_clock.py
@@ -9,12 +9,12 @@
 
 from oakramp.common.constants import (
     CLOCK_DIFFERENCE,
-    CLOCK_MEMORY,
     CLOCK_SAMPLE,
     CLOCK_SAMPLES,
-    CLOCK_VOICE_AGE,
-    CLOCK_VOICES_LEAST,
-    REPORT_GATES,
+    FLEET_CLOCK_AGE,
+    REPORTED_CLOCK_AGE,
+    REPORTED_CLOCKS_MIN,
+    REPORTING_GATEWAYS,
 )
 from oakramp.common.tasks import Repeater
 
@@ -59,7 +59,7 @@
     """What machines say of wall time, as the node has heard it that decides for them.
 
     Invariant: `_voices` has, by machine, when it was last heard and the distance of its wall time to the monotonic time
-    here; of REPORT_GATES machines at most.
+    here; of REPORTING_GATEWAYS machines at most.
     """
 
     def __init__(self) -> None:
@@ -67,14 +67,14 @@
 
     def hear(self, machine: str, wall: float, now: float) -> None:
         """This machine's wall time is `wall`, at monotonic time `now` here."""
-        if machine in self._voices or len(self._voices) < REPORT_GATES:
+        if machine in self._voices or len(self._voices) < REPORTING_GATEWAYS:
             self._voices[machine] = now, wall - now
 
     def time(self, now: float) -> float | None:
-        """The median wall time at monotonic time `now`; None while fewer than CLOCK_VOICES_LEAST were heard lately."""
-        for machine in [machine for machine, (at, _) in self._voices.items() if now - at > CLOCK_VOICE_AGE]:
+        """The median wall time at monotonic time `now`; None while fewer than REPORTED_CLOCKS_MIN were heard lately."""
+        for machine in [machine for machine, (at, _) in self._voices.items() if now - at > REPORTED_CLOCK_AGE]:
             del self._voices[machine]
-        if len(self._voices) < CLOCK_VOICES_LEAST:
+        if len(self._voices) < REPORTED_CLOCKS_MIN:
             return None
         return now + median(offset for _, offset in self._voices.values())
 
@@ -96,7 +96,7 @@
 
     def is_known(self) -> bool:
         """Whether the fleet's wall time is known."""
-        return self._reactor.seconds() <= self._known_at + CLOCK_MEMORY
+        return self._reactor.seconds() <= self._known_at + FLEET_CLOCK_AGE
 
     def now(self) -> float:
         """Seconds since the start of 1970."""
--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -20,7 +20,7 @@
 
 from schema import And, Or
 
-from oakramp.common.constants import BLUEPRINT_AGE, ENDING_MARKS, TURNS_LIMIT, UNITS_LIMIT
+from oakramp.common.constants import BLUEPRINT_AGE, ENDED_PROGRAM_RECORDS, TURNS_LIMIT, UNITS_LIMIT
 from oakramp.common.errors import (
     BadRequestError,
     ConflictError,
@@ -252,7 +252,7 @@
 
 def _continue_ending(transaction, key):
     """Deletes turn records first, one page a call; then the program is deleted and listed as ended in one step."""
-    record_keys = list(islice(transaction.committed_keys(f"{key}#"), ENDING_MARKS))
+    record_keys = list(islice(transaction.committed_keys(f"{key}#"), ENDED_PROGRAM_RECORDS))
     for record_key in record_keys:
         transaction.put(record_key, None)
     if record_keys:
--- a/packages/control/oakramp/control/command_context.py
+++ b/packages/control/oakramp/control/command_context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from oakramp.common.constants import VIEW_RETRY
+from oakramp.common.constants import CONTACT_RETRY_AFTER
 from oakramp.common.errors import OakrampError, QuorumUnavailableError
 
 if TYPE_CHECKING:
@@ -66,5 +66,5 @@
         if self._contact is None or self._contact.knows_members():
             return error
         return QuorumUnavailableError(
-            f"in contact with a quorum for too short a time to decide: {error.reason}", retry_after=VIEW_RETRY
+            f"in contact with a quorum for too short a time to decide: {error.reason}", retry_after=CONTACT_RETRY_AFTER
         )
--- a/packages/control/oakramp/control/control_node.py
+++ b/packages/control/oakramp/control/control_node.py
@@ -2,7 +2,7 @@
 
 import time
 
-from oakramp.common.constants import ACCEPT_QUEUE_LIMIT, OWNER_TRIES_PAUSE, SHARDS
+from oakramp.common.constants import ACCEPT_QUEUE_LIMIT, LEADER_RETRY_PAUSE, SHARDS
 from oakramp.common.errors import OakrampError
 from oakramp.common.fenced_call import PlainCallFormat
 from oakramp.common.http_server import HttpServer
@@ -139,7 +139,7 @@
                 await complete_bootstrap(self.node, self.voter)
             except (OakrampError, OSError) as error:
                 self.node.log.warning("bootstrap_failed", error=repr(error))
-                await sleep(self.node.reactor, OWNER_TRIES_PAUSE)
+                await sleep(self.node.reactor, LEADER_RETRY_PAUSE)
         self._start_tasks()
 
     def _start_tasks(self):
--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -13,10 +13,10 @@
 
 from oakramp.common.constants import (
     CANDIDATE_TURN_TIME,
-    CONDITION_AGE,
     FORGET_AGE,
     LEASE,
     LEASE_RENEW,
+    LIVENESS_AGE,
     RELEASE_TIME,
     SHARDS,
 )
@@ -281,7 +281,7 @@
 
     def _has_just_started(self) -> bool:
         """Whether this node started so recently that the others may not have sent it a gossip request yet."""
-        return self._reactor.seconds() - self._started_at < CONDITION_AGE
+        return self._reactor.seconds() - self._started_at < LIVENESS_AGE
 
     def _live_leader(self, shard: int) -> KnownLeader | None:
         """The shard's known leader if it is another node that can be asked to release it; None otherwise."""
@@ -327,7 +327,7 @@
         position = order.index(self._node.node_id)
         now = self._reactor.seconds()
         leaderless_s = min(self._node.state_table.age(f"{SHARD_SOURCE}{shard}"), now - self._started_at)
-        late_s = leaderless_s - CONDITION_AGE - CANDIDATE_TURN_TIME
+        late_s = leaderless_s - LIVENESS_AGE - CANDIDATE_TURN_TIME
         return position == (0 if late_s <= 0 else (1 + int(late_s / CANDIDATE_TURN_TIME)) % len(order))
 
     def _is_first_candidate(self, shard: int, live_ids: list[str]) -> bool:
--- a/packages/control/oakramp/control/fenced_task.py
+++ b/packages/control/oakramp/control/fenced_task.py
@@ -12,17 +12,17 @@
 from typing import TYPE_CHECKING, Any
 
 from oakramp.common.constants import (
-    FENCED_ANSWER_LIMIT,
     FENCED_ARRIVAL,
     FENCED_BACKOFF,
-    FENCED_BACKOFF_MOST,
+    FENCED_BACKOFF_MAX,
     FENCED_CALL_TIME,
-    FENCED_CALL_TIME_MOST,
+    FENCED_CALL_TIME_MAX,
     FENCED_LEASE_LEFT,
     FENCED_LEASE_POLL,
     FENCED_OFFER_AFTER,
     FENCED_RATE_SHARE,
     FENCED_RECENT,
+    FENCED_RESPONSE_LIMIT,
     FENCED_ROUND,
     FENCED_UNACKNOWLEDGED,
     LEASE_HELD,
@@ -132,7 +132,7 @@
             request.path,
             request.body,
             time_left,
-            FENCED_ANSWER_LIMIT,
+            FENCED_RESPONSE_LIMIT,
             last_check,
             self._call_format.fencing_headers(self._holder, fence),
             FENCED_UNACKNOWLEDGED,
@@ -267,7 +267,7 @@
         if outcome is CallOutcome.ACCEPTED:
             self._failures = 0
             return
-        pause = min(FENCED_BACKOFF_MOST, FENCED_BACKOFF * 2 ** min(self._failures, 8))
+        pause = min(FENCED_BACKOFF_MAX, FENCED_BACKOFF * 2 ** min(self._failures, 8))
         self._retry_at = self._node.reactor.seconds() + pause * (0.5 + self._node.random.random() / 2)
         self._failures += 1
         self._node.log.warning(
--- a/packages/control/oakramp/control/leader_changes.py
+++ b/packages/control/oakramp/control/leader_changes.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.defer import Deferred
 
-from oakramp.common.constants import OWNER_LEFT_PAUSE
+from oakramp.common.constants import LEADER_CHANGED_GRACE
 from oakramp.common.errors import OutcomeUnknownError
 from oakramp.common.tasks import begin
 from oakramp.control.controllers import SHARD_SOURCE
@@ -30,7 +30,7 @@
 
     def answer_unless_leader_changes(self, shard, address, call):
         """The call's answer. Fails with OutcomeUnknownError if the call is to the leader that gossip names, gossip then
-        names another one, and OWNER_LEFT_PAUSE later there is still no answer."""
+        names another one, and LEADER_CHANGED_GRACE later there is still no answer."""
         answer = begin(call)
         if address != self._address_of(shard):
             return answer  # another node has named this address, and may have newer information
@@ -49,7 +49,7 @@
         leader_address = self._address_of(shard)
         for outcome, address in self._waiting[shard].items():
             if leader_address is not None and address != leader_address:
-                self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._abandon, shard, outcome))
+                self._reactor.callLater(LEADER_CHANGED_GRACE, partial(self._abandon, shard, outcome))
 
     def _abandon(self, shard, outcome):
         self._waiting[shard].pop(outcome, None)
--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -13,10 +13,10 @@
     CALL_TIME,
     DEFERRED_COMMAND_SHARE,
     FAILOVER_POLL,
-    FULL_RETRY,
+    FORWARD_CALL_TIME,
+    FULL_RETRY_AFTER,
+    LEADER_CLEANUP_PAUSE,
     LEASE_RENEW,
-    ONWARD_TIME,
-    OWNER_CLEANUP,
     SETTLE_BOUND,
     VOTERS_POLL,
     VOTING_CONFIG_HEARD,
@@ -62,7 +62,7 @@
         self.replicator = ShardReplicator(node, voter, self, self.failover.on_epoch_superseded)
         self._failover_task = Repeater(node.reactor, FAILOVER_POLL, self.failover.poll, node.log)
         self._renewal_task = Repeater(node.reactor, LEASE_RENEW, self.leases.renew, node.log)
-        self._cleanup_task = Repeater(node.reactor, OWNER_CLEANUP, self._cleanup, node.log)
+        self._cleanup_task = Repeater(node.reactor, LEADER_CLEANUP_PAUSE, self._cleanup, node.log)
         self._update_task = Repeater(node.reactor, VOTERS_POLL, self.replicator.update_voters, node.log)
         self._is_poll_scheduled = self._is_stopping = False
         node.net.handle("ownerCall", self._serve_call)
@@ -156,10 +156,10 @@
         if leader.size > self._voter.shard_limit():
             raise StorageFullError(
                 f"shard {leader.shard} of the control state is full; end programs, or use names in other shards",
-                retry_after=FULL_RETRY,
+                retry_after=FULL_RETRY_AFTER,
             )
         if self._voter.is_full():
-            raise StorageFullError("the control state is full; end programs", retry_after=FULL_RETRY)
+            raise StorageFullError("the control state is full; end programs", retry_after=FULL_RETRY_AFTER)
 
     def reject_if_not_installable(self, leader: ShardLeader, changes: Mapping[str, bytes | None]) -> None:
         """Rejects changes after which a voter could not store a new snapshot of the shard beside the present one.
@@ -204,7 +204,7 @@
         return await self._node.net.call(
             leader_address,
             "ownerCall",
-            ONWARD_TIME,
+            FORWARD_CALL_TIME,
             key=arguments.key,
             command=arguments.command,
             arguments_json=arguments.arguments_json,
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -6,7 +6,7 @@
 is a reason to start a failover, never to skip one of its steps.
 """
 
-from oakramp.common.constants import EXPIRY_POLL, EXPIRY_QUERY_TIME, LEASE_EXPIRED, SUSPECT_SILENT
+from oakramp.common.constants import EXPIRY_POLL, EXPIRY_QUERY_TIME, LEASE_EXPIRED, SUSPECT_SILENCE
 from oakramp.common.tasks import Repeater, quorum_of
 
 
@@ -56,7 +56,7 @@
         ]
 
     def _hears_majority(self):
-        """Whether a majority has answered this node within SUSPECT_SILENT. If not, this process may have been frozen
+        """Whether a majority has answered this node within SUSPECT_SILENCE. If not, this process may have been frozen
         itself, and that it has received nothing from the others proves nothing."""
         voting_config = self._voter.voting_config
         if voting_config is None or self._node.node_id not in voting_config.everyone:
@@ -79,7 +79,7 @@
         }
 
     def _answers(self, node_id):
-        """Whether this node has answered a gossip request within SUSPECT_SILENT: then its process is running, even if a
-        majority may not confirm its lease."""
+        """Whether this node has answered a gossip request within SUSPECT_SILENCE: then its process is running, even if
+        a majority may not confirm its lease."""
         address = self._registry.voter_addresses().get(node_id)
-        return address is not None and self._node.gossip_client.has_replied_as(node_id, address, SUSPECT_SILENT)
+        return address is not None and self._node.gossip_client.has_replied_as(node_id, address, SUSPECT_SILENCE)
--- a/packages/control/oakramp/control/membership_repair.py
+++ b/packages/control/oakramp/control/membership_repair.py
@@ -13,19 +13,19 @@
 
 from oakramp.common.constants import (
     CALL_TIME,
-    CONDITION_AGE,
     LEASE_EXPIRED,
+    LIVENESS_AGE,
     SHARDS,
-    SHARDS_LED_PATIENCE,
+    SHARDS_LED_WAIT,
     VOTING_CONFIG_ANSWERED,
     VOTING_CONFIG_GONE,
     VOTING_CONFIG_HEARD,
     VOTING_CONFIG_JOINING,
-    VOTING_CONFIG_LEAST,
-    VOTING_CONFIG_MOST,
+    VOTING_CONFIG_MAX,
+    VOTING_CONFIG_MIN,
     VOTING_CONFIG_MOVING_PAUSE,
-    VOTING_CONFIG_PATIENCE,
     VOTING_CONFIG_PAUSE,
+    VOTING_CONFIG_REPLACE_AFTER,
 )
 from oakramp.common.errors import QuorumUnavailableError
 from oakramp.common.tasks import quorum_of, sleep, spawn
@@ -57,8 +57,8 @@
     awaited,
     outsiders,
     joining=(),
-    most=VOTING_CONFIG_MOST,
-    least=VOTING_CONFIG_LEAST,
+    most=VOTING_CONFIG_MAX,
+    least=VOTING_CONFIG_MIN,
     gone=(),
 ):
     """Returns the members that the voting configuration should have. `successors` maps a member to its next
@@ -153,7 +153,7 @@
             return False
         if self._leaderless_since is None:
             self._leaderless_since = now
-        return now - self._leaderless_since < SHARDS_LED_PATIENCE
+        return now - self._leaderless_since < SHARDS_LED_WAIT
 
     def _is_present(self, node_id, peer):
         return self._node.members.condition(node_id) == LIVE and self._node.members.successor_of(node_id, peer) is None
@@ -213,7 +213,7 @@
             if not {one.peer, one.machine} & occupied
         ]
         now = node.reactor.seconds()
-        lost = self._silent_for(VOTING_CONFIG_PATIENCE)
+        lost = self._silent_for(VOTING_CONFIG_REPLACE_AFTER)
         awaited = [
             node_id
             for node_id, peer in voting_config.members.items()
--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -24,9 +24,9 @@
 
 from oakramp.common.constants import (
     FRAME_LIMIT,
-    OPERATOR_ANSWER_AGE,
     OPERATOR_LIMIT,
     OPERATOR_QUEUE_LIMIT,
+    OPERATOR_RESPONSE_AGE,
     OPERATOR_RETRY,
     OPERATOR_TIME,
 )
@@ -138,7 +138,7 @@
             try:
                 return await handler(call)
             finally:
-                if self._node.reactor.seconds() - asked_at > OPERATOR_ANSWER_AGE:
+                if self._node.reactor.seconds() - asked_at > OPERATOR_RESPONSE_AGE:
                     raise QuorumUnavailableError(
                         "the answer took so long that it may be outdated", retry_after=OPERATOR_RETRY
                     )
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -14,8 +14,8 @@
 
 from oakramp.common.constants import (
     BLUEPRINTS_KEPT,
-    ENDS_AFTER_LEAST,
-    ENDS_AFTER_MOST,
+    ENDS_AFTER_MAX,
+    ENDS_AFTER_MIN,
     SHARDS,
     TIME_LEFT_LIMIT,
     UNITS_LIMIT,
@@ -49,7 +49,7 @@
 PROGRAMS = {
     "defaultLimit": whole(1, UNITS_LIMIT),
     "maxLimit": whole(1, UNITS_LIMIT),
-    Optional("endAfterIdle"): seconds(ENDS_AFTER_LEAST, ENDS_AFTER_MOST),
+    Optional("endAfterIdle"): seconds(ENDS_AFTER_MIN, ENDS_AFTER_MAX),
 }
 BLUEPRINT = {
     "bindings": And(dict, error="must be an object"),
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -15,9 +15,9 @@
     EVICTION_ROUND,
     FINDINGS_SHOWN,
     TENANT_ID_LIMIT,
-    TENANT_PARTS_TOLD,
+    TENANT_PARTS_REPORTED,
     TENANTS_NAMED,
-    TENANTS_TOLD,
+    TENANTS_REPORTED,
 )
 from oakramp.common.settings import EVICTION_MODES, eviction_mode
 from oakramp.common.validation import NAME, check_fields, one_of, pack_json, whole
@@ -44,7 +44,7 @@
         and all(map(_is_count, row[:4]))
         and row[0] > 0
         and isinstance(row[4], list)
-        and len(row[4]) <= TENANT_PARTS_TOLD
+        and len(row[4]) <= TENANT_PARTS_REPORTED
         and all(map(_is_part_report, row[4]))
     )
 
@@ -63,7 +63,7 @@
     "tenants": And(
         dict,
         lambda rows: (
-            len(rows) <= TENANTS_TOLD
+            len(rows) <= TENANTS_REPORTED
             and all(map(_is_tenant_report, rows.values()))
             and all(len(name) <= TENANT_ID_LIMIT for name in rows)
         ),
--- a/packages/control/oakramp/control/quorum_contact.py
+++ b/packages/control/oakramp/control/quorum_contact.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from oakramp.common.constants import CONTACT_GAP, MAJORITY_WAIT, VIEW_AGE
+from oakramp.common.constants import CONTACT_AGE, CONTACT_GAP, MAJORITY_CHECK_TIME
 from oakramp.common.errors import DeadlineExceededError, QuorumUnavailableError
 from oakramp.common.tasks import quorum_of, within
 
@@ -61,9 +61,9 @@
         return now - self._since
 
     def knows_members(self) -> bool:
-        """Whether contact has lasted for VIEW_AGE, so that a member that is not heard of has indeed been silent towards
-        a majority."""
-        return self.seconds() >= VIEW_AGE
+        """Whether contact has lasted for CONTACT_AGE, so that a member that is not heard of has indeed been silent
+        towards a majority."""
+        return self.seconds() >= CONTACT_AGE
 
 
 async def majority_answers(
@@ -71,7 +71,7 @@
     voter_addresses: dict[str, str],
     voting_config: VotingConfiguration,
     least_version: int = 0,
-    wait_s: float = MAJORITY_WAIT,
+    wait_s: float = MAJORITY_CHECK_TIME,
 ) -> bool:
     """Whether a majority answers within `wait_s` seconds and has this version of the voting configuration or a later
     one.
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -25,7 +25,7 @@
     PLATFORM_LIMIT,
     PLATFORM_PAGES,
     PLATFORM_PAUSE,
-    PLATFORM_PAUSE_MOST,
+    PLATFORM_PAUSE_MAX,
     PLATFORM_RATE_SHARE,
     PLATFORM_TICKS,
     PLATFORM_TIME,
@@ -116,7 +116,7 @@
     def __init__(self, node, leaders, voter, address, dialect=None):
         bounds = node.env.get("bounds") or {}
         self._pause = (
-            min(PLATFORM_PAUSE_MOST, bounds["leaving_s"] * PLATFORM_BOUND_SHARE)
+            min(PLATFORM_PAUSE_MAX, bounds["leaving_s"] * PLATFORM_BOUND_SHARE)
             if "leaving_s" in bounds
             else PLATFORM_PAUSE
         )
--- a/packages/control/oakramp/control/replica_orders.py
+++ b/packages/control/oakramp/control/replica_orders.py
@@ -21,7 +21,7 @@
 
 from schema import And
 
-from oakramp.common.constants import FENCED_REFUSALS_MOST, REPORT_GATES
+from oakramp.common.constants import FENCED_REFUSALS_MAX, REPORTING_GATEWAYS
 from oakramp.common.errors import BadRequestError
 from oakramp.common.validation import check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
@@ -83,7 +83,7 @@
         del reports[gateway]
     gateway = arguments["gateway"]
     is_newer = gateway not in reports or reports[gateway][1] < arguments["number"]
-    if is_newer and (gateway in reports or len(reports) < REPORT_GATES):
+    if is_newer and (gateway in reports or len(reports) < REPORTING_GATEWAYS):
         reports[gateway] = (context.now, arguments["number"], active, refused)
     return {}
 
@@ -118,7 +118,7 @@
 
 def is_owed(row: dict[str, Any]) -> bool:
     """Whether this order still has to be sent to the platform."""
-    return not row["accepted"] and row["refusals"] < FENCED_REFUSALS_MOST
+    return not row["accepted"] and row["refusals"] < FENCED_REFUSALS_MAX
 
 
 def _owed(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
--- a/packages/control/oakramp/control/replica_sizing.py
+++ b/packages/control/oakramp/control/replica_sizing.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-TARGET_USE = 0.4  # share of slots in use; at BEGIN_SHARE, 0.5, gateways let no new program begin
+TARGET_USE = 0.4  # share of slots in use; at FIRST_TURN_SHARE, 0.5, gateways let no new program begin
 DEAD_BAND = 0.1  # share of the target; a smaller deviation of demand from it changes nothing
 LEVEL_WINDOW = 3.0  # s; the averaging window of demand
 TREND_WINDOW = 10.0  # s; the window of the slope of demand
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -18,11 +18,11 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import (
+    APPEND_BATCH_DELAY,
     CALL_TIME,
-    OUTRANKED_PATIENCE,
     SNAPSHOT_PART,
-    STEP_PAUSE,
-    UNANSWERED_STEPS,
+    SUPERSEDED_PATIENCE,
+    UNANSWERED_APPENDS,
     UPDATE_LIMIT,
 )
 from oakramp.common.errors import NotShardLeaderError, OakrampError, OutcomeUnknownError, QuorumUnavailableError
@@ -60,7 +60,7 @@
     """Batches append requests to one voter into calls.
 
     Invariant: while requests are waiting, either a timer is set or a call is in progress whose end sends them; none
-    waits longer than STEP_PAUSE."""
+    waits longer than APPEND_BATCH_DELAY."""
 
     def __init__(self, net, reactor, voter_id):
         self._net, self._reactor, self._voter_id = net, reactor, voter_id
@@ -73,7 +73,7 @@
         `on_response(response, error)` is called once."""
         self._waiting.append((target, request, on_response))
         if self._timer is None:
-            self._timer = self._reactor.callLater(STEP_PAUSE if self._calls else 0, self._send)
+            self._timer = self._reactor.callLater(APPEND_BATCH_DELAY if self._calls else 0, self._send)
 
     def _send(self):
         self._timer = None
@@ -279,7 +279,7 @@
     def is_stalled(self, voter_id):
         """Whether append requests are no longer sent to the voter one by one, since it would only receive them late and
         to no effect."""
-        return self.is_behind(voter_id) and self.of(voter_id).unanswered > UNANSWERED_STEPS
+        return self.is_behind(voter_id) and self.of(voter_id).unanswered > UNANSWERED_APPENDS
 
     def note_higher_promise(self, voter_id, epoch, now):
         """Records that the voter has promised this later epoch, and when this became known (monotonic seconds)."""
@@ -288,10 +288,10 @@
             self.of(voter_id).higher_promise = HigherPromise(epoch, now)
 
     def is_superseded(self, voter_ids, now):
-        """Whether one of these voters has been bound to a later epoch for more than OUTRANKED_PATIENCE, without a leader
+        """Whether one of these voters has been bound to a later epoch for more than SUPERSEDED_PATIENCE, without a leader
         serving under that epoch."""
         promises = [self.of(voter_id).higher_promise for voter_id in voter_ids]
-        return any(one is not None and now - one.since > OUTRANKED_PATIENCE for one in promises)
+        return any(one is not None and now - one.since > SUPERSEDED_PATIENCE for one in promises)
 
 
 class VoterUpdates:
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -5,14 +5,14 @@
 from twisted.internet.defer import CancelledError
 
 from oakramp.common.constants import (
+    LEADER_CALL_TIME,
+    LEADER_RETRY_PAUSE,
     LEASE,
-    MAJORITY_DOUBT,
-    MAJORITY_WAIT,
-    MAJORITY_WAIT_MOST,
+    MAJORITY_CHECK_DELAY,
+    MAJORITY_CHECK_TIME,
+    MAJORITY_CHECK_TIME_MAX,
     OPERATOR_RETRY,
     OPERATOR_SLOW,
-    OWNER_TRIES_PAUSE,
-    OWNER_TRY_TIME,
     SETTLE_TIME,
 )
 from oakramp.common.errors import (
@@ -105,7 +105,7 @@
                     call = self._node.net.call(
                         address,
                         "ownerCall",
-                        min(OWNER_TRY_TIME, ends_at - reactor.seconds()),
+                        min(LEADER_CALL_TIME, ends_at - reactor.seconds()),
                         key=key,
                         command=command,
                         arguments_json=text,
@@ -129,7 +129,7 @@
                         silent_until[address] = reactor.seconds() + LEASE
                         hint = self._next_leader_address(shard, address, tried)
             if hint is None:
-                await sleep(reactor, OWNER_TRIES_PAUSE)
+                await sleep(reactor, LEADER_RETRY_PAUSE)
                 if address is None or len(tried) > 2:
                     tried = set()
         if unknown_outcome is not None:
@@ -172,13 +172,13 @@
             )
 
     async def _end_without_majority(self, waiting):
-        pause = MAJORITY_DOUBT
+        pause = MAJORITY_CHECK_DELAY
         while True:
             await sleep(self._node.reactor, pause)
             if not await self._reaches_majority():
                 waiting.cancel()
                 return
-            pause = MAJORITY_WAIT
+            pause = MAJORITY_CHECK_TIME
 
     async def _reaches_majority(self):
         voting_config = self._voter.voting_config
@@ -192,4 +192,4 @@
         answer its last gossip requests. If answers that are merely late counted as missing, every node would reject the
         operator's command."""
         took = sorted(self._node.gossip_client.last_reply_time(address) for address in voter_addresses.values())
-        return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))
+        return min(MAJORITY_CHECK_TIME_MAX, max(MAJORITY_CHECK_TIME, 2 * took[len(took) // 2]))
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from oakramp.common.bounded_queue import BoundedQueue
-from oakramp.common.constants import CONTROL_BATCH, CONTROL_QUEUE_LIMIT, OWNER_CLEANUP_KEYS
+from oakramp.common.constants import CONTROL_BATCH, CONTROL_QUEUE_LIMIT, LEADER_CLEANUP_KEYS
 from oakramp.common.errors import NotShardLeaderError, OakrampError, OutcomeUnknownError, Verdict
 from oakramp.common.tasks import spawn
 from oakramp.control.controllers import CONTROLLERS, SHARD_SOURCE, cleanups_for, is_deferrable
@@ -106,7 +106,7 @@
         Returns:
             the keys whose cleanup failed, as (key, error) pairs.
         """
-        pairs = cleanups_for(self.next_keys(OWNER_CLEANUP_KEYS))
+        pairs = cleanups_for(self.next_keys(LEADER_CLEANUP_KEYS))
         return self._enqueue(partial(self._cleanup_all, pairs)) if pairs else defer.succeed([])
 
     def _enqueue(self, work: Callable[[Transaction], Any]) -> defer.Deferred[Any]:
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -36,16 +36,16 @@
 
 from oakramp.common.constants import (
     CALL_TIME,
-    CONDITION_AGE,
-    MEMBER_ANSWERED,
+    LIVENESS_AGE,
+    MEMBER_WATCH_GAP,
     PRUNE_PAUSE,
     REJOIN,
-    STORES_ASK,
-    STORES_FIRST_WAIT,
+    STORES_BOOTSTRAP_WAIT,
     STORES_JOIN_TIME,
     STORES_MOVING_PAUSE,
-    STORES_PATIENCE,
     STORES_POLL,
+    STORES_REPLACE_AFTER,
+    STORES_STATUS_TIME,
 )
 from oakramp.common.errors import (
     ConflictError,
@@ -217,7 +217,7 @@
         remaining = {
             member.machine
             for member, age in transaction.context.members.newest().values()
-            if member.kind == "store" and age <= STORES_PATIENCE and member.node_id not in record["retired"]
+            if member.kind == "store" and age <= STORES_REPLACE_AFTER and member.node_id not in record["retired"]
         }
         remaining -= {machine, *emptied}
         needed = 2 * record.get("losses", 1) + 1
@@ -351,7 +351,7 @@
 
     def _watch_stores(self, stores):
         now = self._node.reactor.seconds()
-        if now - self._watched_at > MEMBER_ANSWERED:
+        if now - self._watched_at > MEMBER_WATCH_GAP:
             self._silent_since = {}
         self._watched_at = now
         self._silent_since = {
@@ -410,7 +410,8 @@
         have appeared for STORES_FIRST_WAIT."""
         live, wanted = self._node.members.live("store"), 2 * self._tolerated_losses + 1
         waited = (
-            self._first_seen_at is not None and self._node.reactor.seconds() - self._first_seen_at >= STORES_FIRST_WAIT
+            self._first_seen_at is not None
+            and self._node.reactor.seconds() - self._first_seen_at >= STORES_BOOTSTRAP_WAIT
         )
         if len(live) < wanted and not (waited and live):
             return
--- a/packages/control/oakramp/control/token_budget.py
+++ b/packages/control/oakramp/control/token_budget.py
@@ -16,7 +16,7 @@
 
 from schema import And
 
-from oakramp.common.constants import ALLOWANCE_CLOSED, ALLOWANCE_KEPT, ALLOWANCE_OPEN, CONDITION_AGE, UNITS_LIMIT
+from oakramp.common.constants import ALLOWANCE_CLOSED, ALLOWANCE_KEPT, ALLOWANCE_OPEN, LIVENESS_AGE, UNITS_LIMIT
 from oakramp.common.errors import BadRequestError, InProgressError, NotFoundError, OverloadedError, RequestRejectedError
 from oakramp.common.validation import NAME, check_fields, whole
 from oakramp.control.controllers import CONTROLLERS, Controller
@@ -103,7 +103,7 @@
 
 
 def _cleanup(transaction, key, _arguments):
-    """Closes reservations of gateways that left more than CONDITION_AGE ago, and deletes a row unused for long."""
+    """Closes reservations of gateways that left more than LIVENESS_AGE ago, and deletes a row unused for long."""
     row, context = transaction.get(key), transaction.context
     if row is None:
         return
@@ -114,7 +114,7 @@
     absence_marks = {
         gate: f"{key}#gone/{gate}" for _, gate in row["open"].values() if context.members.find(gate) is None
     }
-    gone = {gate for gate, mark in absence_marks.items() if context.age_of(mark) > CONDITION_AGE}
+    gone = {gate for gate, mark in absence_marks.items() if context.age_of(mark) > LIVENESS_AGE}
     expired = [turn for turn, (_, gate) in row["open"].items() if gate in gone]
     for turn in expired:
         row = _close_turn(row, turn, row["open"][turn][0])
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from oakramp.common.constants import FENCED_REFUSALS_MOST, FENCED_ROUND, USAGE_GRACE
+from oakramp.common.constants import FENCED_REFUSALS_MAX, FENCED_ROUND, USAGE_GRACE
 from oakramp.common.wall_clock import SteadyWallClock, window_at
 from oakramp.control.fenced_task import CallOutcome, FencedCaller, FencedTask
 from oakramp.control.shards import shard_of_key
@@ -84,10 +84,10 @@
     def _is_given_up(self, outcome: CallOutcome, window: int) -> bool:
         """Whether the platform has permanently rejected this window so often that later ones must not wait for it."""
         self._refusals = self._refusals + 1 if outcome is CallOutcome.REFUSED else 0
-        if self._refusals < FENCED_REFUSALS_MOST:
+        if self._refusals < FENCED_REFUSALS_MAX:
             return False
         self._refusals = 0
-        self._node.log.error("usage_window_given_up", window=window, refusals=FENCED_REFUSALS_MOST)
+        self._node.log.error("usage_window_given_up", window=window, refusals=FENCED_REFUSALS_MAX)
         return True
 
 
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -25,7 +25,7 @@
 
 from schema import And
 
-from oakramp.common.constants import VOTING_CONFIG_LEAST
+from oakramp.common.constants import VOTING_CONFIG_MIN
 from oakramp.common.errors import ConflictError, NotFoundError, RequestRejectedError, VersionConflictError
 from oakramp.common.settings import ADDRESS
 from oakramp.common.validation import NAME, check_fields, pack_json, whole
--- a/packages/gateway/oakramp/gateway/authentication.py
+++ b/packages/gateway/oakramp/gateway/authentication.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from oakramp.common.constants import REJECTED_LOG_PAUSE, RETRY_AFTER_LEAST
+from oakramp.common.constants import REJECTED_LOG_PAUSE, RETRY_AFTER_MIN
 from oakramp.common.errors import OverloadedError, UnauthenticatedError
 from oakramp.common.log_rate_limit import LogRateLimit
 
@@ -48,7 +48,7 @@
         retry, since the request has already read and claimed state of its first tenant."""
         tenant = self.tenant_of(proxied_request.request.api_key, route)
         if _name_of(tenant) != _name_of(proxied_request.tenant):
-            raise OverloadedError("the API key now belongs to another tenant", retry_after=RETRY_AFTER_LEAST)
+            raise OverloadedError("the API key now belongs to another tenant", retry_after=RETRY_AFTER_MIN)
         proxied_request.tenant = tenant
 
     def is_current(self, proxied_request: ProxiedRequest) -> bool:
--- a/packages/gateway/oakramp/gateway/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -20,13 +20,13 @@
 from oakramp.common.constants import (
     AFFINITY_SLACK,
     BALANCER_QUEUE,
-    BEGIN_RETRY_AFTER,
     EJECT_AFTER,
     EJECT_LONGEST,
     EJECT_PAUSE,
-    HOME_SLACK,
+    FIRST_TURN_RETRY_AFTER,
+    LAST_REPLICA_SLACK,
     PLACEMENT_SLACK,
-    RETRY_AFTER_LEAST,
+    RETRY_AFTER_MIN,
     SHED_PAUSE,
 )
 from oakramp.common.errors import DeadlineExceededError, OverloadedError
--- a/packages/gateway/oakramp/gateway/forwarding.py
+++ b/packages/gateway/oakramp/gateway/forwarding.py
@@ -2,7 +2,7 @@
 
 import json
 
-from oakramp.common.constants import CARRY_TRIES
+from oakramp.common.constants import FORWARD_ATTEMPTS
 from oakramp.common.errors import (
     DeadlineExceededError,
     IncompleteResponseError,
@@ -27,7 +27,7 @@
         After a failure with verdict no, retries on another replica; after one with verdict maybe, only if
         `may_repeat()` returns true."""
         ambiguous_error = None
-        for attempt in range(CARRY_TRIES):
+        for attempt in range(FORWARD_ATTEMPTS):
             try:
                 replica = await self._place_on_current_binding(request)
             except OakrampError as error:
@@ -39,7 +39,7 @@
                 if error.verdict is Verdict.NO:
                     self._placer.refused(replica)
                 self._metrics.count("carry_failed", verdict=error.verdict.value)
-                if attempt == CARRY_TRIES - 1 or not self._may_retry(request, may_repeat, error):
+                if attempt == FORWARD_ATTEMPTS - 1 or not self._may_retry(request, may_repeat, error):
                     raise _keep_ambiguous(ambiguous_error, error) from error
                 if error.verdict is not Verdict.NO:
                     ambiguous_error = error
--- a/packages/gateway/oakramp/gateway/load_balancer.py
+++ b/packages/gateway/oakramp/gateway/load_balancer.py
@@ -8,15 +8,15 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import (
+    AFFINITY_WEIGHT_LIMIT,
     CONTENDED_SHARE,
     DESCRIBE_PAUSE,
     DESCRIBE_TIME,
-    GATE_REPLICA_IN_FLIGHT,
+    GATEWAY_REPLICA_IN_FLIGHT,
     PLACE_QUEUE_LIMIT,
     PREFIX_CHARACTERS,
     REFUSED_PAUSE,
     RETRY_AFTER,
-    WEIGHT_BOUND,
 )
 from oakramp.common.errors import DeadlineExceededError, NotFoundError, OakrampError, OverloadedError, PlanChangedError
 from oakramp.common.tasks import Repeater, spawn, within
@@ -34,7 +34,7 @@
     replica reported at `described_at`, `in_flight_at_description` of which were this gate's."""
 
     row: dict
-    capacity: int = GATE_REPLICA_IN_FLIGHT
+    capacity: int = GATEWAY_REPLICA_IN_FLIGHT
     running: int = 0
     in_flight: int = 0
     in_flight_at_description: int = 0
--- a/packages/gateway/oakramp/gateway/outliers.py
+++ b/packages/gateway/oakramp/gateway/outliers.py
@@ -14,15 +14,15 @@
 from collections import deque
 
 from oakramp.common.constants import (
-    LATE_LEAST,
+    LATE_FACTOR,
+    LATE_MIN,
     LATE_POLL,
     LATE_STEP,
-    LATE_TIMES,
     OUTLIER_FAULTS,
-    OUTLIER_FELLOWS,
+    OUTLIER_MEAN_FACTOR,
     OUTLIER_RATE,
+    OUTLIER_REPORT_PAUSE,
     OUTLIER_SHARE,
-    OUTLIER_TELL,
     OUTLIER_WINDOW,
 )
 from oakramp.gossip.gossip_client import NODE_SOURCE
--- a/packages/gateway/oakramp/gateway/plain.py
+++ b/packages/gateway/oakramp/gateway/plain.py
@@ -4,7 +4,7 @@
 
 from schema import Optional, Or
 
-from oakramp.common.constants import CALL_TIME, CLAIM_ANSWER_LIMIT, CLAIM_LEAVE, TIME_LEFT_LIMIT
+from oakramp.common.constants import CALL_TIME, CLAIM_RESPONSE_LIMIT, CLAIM_SEND_TIME, TIME_LEFT_LIMIT
 from oakramp.common.errors import (
     ConflictError,
     DeadlineExceededError,
--- a/packages/gateway/oakramp/gateway/programs.py
+++ b/packages/gateway/oakramp/gateway/programs.py
@@ -11,10 +11,10 @@
 from cachetools import LRUCache
 
 from oakramp.common.constants import (
-    BEGIN_PATIENCE_SHARE,
-    BEGIN_PRIORITY_STEP,
-    BEGIN_SHARE,
-    FOLLOW_UP_MOST,
+    FIRST_TURN_DEADLINE_SHARE,
+    FIRST_TURN_PRIORITY_FACTOR,
+    FIRST_TURN_SHARE,
+    FOLLOW_UP_MAX,
     FOLLOW_UP_STEP,
     PROGRAMS_KNOWN,
     QUEUED_SHARE,
--- a/packages/gateway/oakramp/gateway/proxy.py
+++ b/packages/gateway/oakramp/gateway/proxy.py
@@ -9,7 +9,7 @@
 that has started is either relayed to its end or its connection is closed.
 """
 
-from oakramp.common.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_LEAST
+from oakramp.common.constants import HOLD_SHARE, OUTAGE_RETRY_AFTER, OUTAGE_SHARE, RETRY_AFTER_MIN
 from oakramp.common.errors import BadRequestError, NotFoundError, OakrampError, QuorumUnavailableError, Verdict
 from oakramp.common.tasks import spawn
 from oakramp.gateway.authentication import Authenticator
@@ -87,7 +87,7 @@
         """Retry-After in seconds while a component that all requests depend on fails over: about the duration of a
         failover, limited to a share of the request's remaining time."""
         time_left = (request.time_left_s or 0.0) - (self._reactor.seconds() - exchange.received_at)
-        return max(RETRY_AFTER_LEAST, min(OUTAGE_RETRY_AFTER, OUTAGE_SHARE * time_left))
+        return max(RETRY_AFTER_MIN, min(OUTAGE_RETRY_AFTER, OUTAGE_SHARE * time_left))
 
     async def _accept(self, exchange, request):
         """Resolves a request's route, tenant and deadline, once the routing and the replica list are fresh enough."""
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -11,12 +11,12 @@
 
 from oakramp.common.constants import (
     CALL_TIME,
-    PATIENCE_SHARE,
-    PLACEMENT_PATIENCE,
+    PLACEMENT_WAIT_SHARE,
+    QUEUE_WAIT_SHARE,
     REFUSAL_LIMIT,
-    RETRY_AFTER_LEAST,
+    RETRY_AFTER_MIN,
+    STALLED_FACTOR,
     STALLED_SHARE,
-    STALLED_TIMES,
 )
 from oakramp.common.errors import (
     DeadlineExceededError,
@@ -113,7 +113,7 @@
 
     def _placement_request(self, proxied_request, service):
         now = self._reactor.seconds()
-        patience_s = (proxied_request.ends_at - now) * PATIENCE_SHARE
+        patience_s = (proxied_request.ends_at - now) * QUEUE_WAIT_SHARE
         slots = self._router.services[service].get("slots") or 1
         priority, begins_program = proxied_request.priority, proxied_request.begins_program
         if begins_program:
@@ -190,7 +190,7 @@
             if route.kind != proxied_request.route.kind or route.retained != proxied_request.route.retained:
                 raise OverloadedError(
                     "the kind or the retention of the route changed while the request was waiting",
-                    retry_after=RETRY_AFTER_LEAST,
+                    retry_after=RETRY_AFTER_MIN,
                 )
             proxied_request.route, proxied_request.may_repeat = route, may_repeat(route)
         self._authenticator.refresh_tenant(proxied_request, route)
@@ -200,7 +200,7 @@
         """Raises OverloadedError while the routing table or the replica list is too old for requests to be sent."""
         reason = self._router.staleness() or self._gate.replicas_staleness()
         if reason is not None:
-            raise OverloadedError(reason, retry_after=RETRY_AFTER_LEAST)
+            raise OverloadedError(reason, retry_after=RETRY_AFTER_MIN)
 
     def _check_before_send(self, proxied_request, instance):
         """Runs in the same reactor iteration that writes the first byte, so that the checks hold at that moment."""
@@ -271,7 +271,7 @@
             proxied_request.may_have_run = False
             spawn(self._drain(response), self._log)
             raise OverloadedError(
-                f"the replica rejected the request with status {response.status}", retry_after=RETRY_AFTER_LEAST
+                f"the replica rejected the request with status {response.status}", retry_after=RETRY_AFTER_MIN
             )
         if response.status in self._dialect.promise_statuses:
             response.abort()
--- a/packages/gateway/oakramp/gateway/proxy_idempotency.py
+++ b/packages/gateway/oakramp/gateway/proxy_idempotency.py
@@ -2,7 +2,7 @@
 
 import base64
 
-from oakramp.common.constants import CLAIM_ANSWER_LIMIT, CLAIM_LEAVE
+from oakramp.common.constants import CLAIM_RESPONSE_LIMIT, CLAIM_SEND_TIME
 from oakramp.common.errors import (
     BadRequestError,
     InProgressError,
@@ -36,7 +36,7 @@
                 proxied_request.exchange.method.encode(), proxied_request.exchange.target, proxied_request.body
             )
         }
-        proxied_request.send_by = self._reactor.seconds() + CLAIM_LEAVE
+        proxied_request.send_by = self._reactor.seconds() + CLAIM_SEND_TIME
         try:
             claim = await self._leaders.call(
                 key, "claim", claim_arguments, remaining_time(self._reactor, proxied_request)
@@ -68,7 +68,7 @@
             "headers": [[name.decode("latin-1"), value.decode("latin-1")] for name, value in headers],
             "body": base64.b64encode(body).decode(),
         }
-        is_storable = len(stored_response["body"]) <= CLAIM_ANSWER_LIMIT
+        is_storable = len(stored_response["body"]) <= CLAIM_RESPONSE_LIMIT
         await self._finish_claim(
             proxied_request, key, "finish", claim_arguments | {"answer": stored_response if is_storable else None}
         )
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -7,11 +7,11 @@
     ACCEPT_QUEUE_LIMIT,
     BODY_LIMIT,
     FORGET_AGE,
-    IDLE_CALLER_TIME,
+    IDLE_CLIENT_TIME,
+    PROXY_IN_FLIGHT,
     READY_DRAIN,
-    RELAY_BOUND,
     REPLICA_AGE,
-    RETRY_AFTER_LEAST,
+    RETRY_AFTER_MIN,
     SETTLE_TIME,
 )
 from oakramp.common.errors import OverloadedError, QuorumUnavailableError
@@ -39,7 +39,7 @@
     header_bytes: int = 16 << 10
     body_bytes: int = BODY_LIMIT
     header_s: float = 3.0
-    idle_s: float = IDLE_CALLER_TIME
+    idle_s: float = IDLE_CLIENT_TIME
 
 
 LEAVING_MARGIN = 0.1  # share of the bound for leaving replicas, reserved for a request's transit to the replica
@@ -72,7 +72,7 @@
         )
         self._limits = (0, Limits())
         self.front = Listener(
-            reactor, env["relay"], self.relay.handle, self.limits, self.node.log, RELAY_BOUND, self._reject
+            reactor, env["relay"], self.relay.handle, self.limits, self.node.log, PROXY_IN_FLIGHT, self._reject
         )
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.ready_web = HttpServer(reactor, env["ready"], self.node.log, ACCEPT_QUEUE_LIMIT)
@@ -99,9 +99,7 @@
         return self._limits[1]
 
     def _reject(self, exchange):
-        error = OverloadedError(
-            "the gateway has reached its limit of concurrent requests", retry_after=RETRY_AFTER_LEAST
-        )
+        error = OverloadedError("the gateway has reached its limit of concurrent requests", retry_after=RETRY_AFTER_MIN)
         request = self._dialect.request_of(exchange.method, exchange.target, exchange.headers)
         exchange.reply(*self._dialect.refusal(error, request))
 
--- a/packages/gateway/oakramp/gateway/proxy_responses.py
+++ b/packages/gateway/oakramp/gateway/proxy_responses.py
@@ -1,6 +1,6 @@
 """Relays replicas' responses to clients: small ones are buffered whole, larger ones are passed on as they arrive."""
 
-from oakramp.common.constants import ANSWER_HELD
+from oakramp.common.constants import RESPONSE_HELD_LIMIT
 from oakramp.common.errors import IncompleteResponseError, OutcomeUnknownError, Verdict
 from oakramp.common.tasks import within
 from oakramp.gateway.proxied_request import ClientDisconnectedError, remaining_run_time
@@ -17,15 +17,15 @@
         self._reactor, self._dialect, self._limits = reactor, dialect, limits
 
     def _body_limit(self):
-        return max(ANSWER_HELD, self._limits().body_bytes)
+        return max(RESPONSE_HELD_LIMIT, self._limits().body_bytes)
 
     async def read_buffered(self, proxied_request, response, instance):
-        """Reads up to ANSWER_HELD bytes, so that a small response is complete before any of it is relayed.
+        """Reads up to RESPONSE_HELD_LIMIT bytes, so that a small response is complete before any of it is relayed.
 
         A small response that is cut off has not been relayed at all, so its request may be retried. Returns the status,
         the headers, the parts read and the response with the rest of the body, or None in its place at the end."""
         parts, size = [], 0
-        while size < ANSWER_HELD:
+        while size < RESPONSE_HELD_LIMIT:
             part = await within(
                 self._reactor,
                 remaining_run_time(self._reactor, proxied_request),
@@ -53,7 +53,7 @@
         return status, headers, b"".join(parts)
 
     async def relay(self, proxied_request, response, instance):
-        """Relays the response; one that is longer than ANSWER_HELD is streamed."""
+        """Relays the response; one that is longer than RESPONSE_HELD_LIMIT is streamed."""
         status, headers, parts, rest = await self.read_buffered(proxied_request, response, instance)
         if proxied_request.exchange.method == "HEAD" or status == NOT_MODIFIED:
             proxied_request.exchange.start(status, headers, response.length)  # the length of the body that is omitted
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from oakramp.common.constants import FULL_RETRY, PATIENCE_SHARE, TURN_OUTPUT_LIMIT
+from oakramp.common.constants import FULL_RETRY_AFTER, QUEUE_WAIT_SHARE, TURN_OUTPUT_LIMIT
 from oakramp.common.errors import (
     BudgetExhaustedError,
     IncompleteResponseError,
@@ -34,12 +34,12 @@
         self._forwarder.check_may_begin(proxied_request)
         if route.retained and self._turn_client.is_full:
             # Checked before the turn runs: afterwards the response could only be cut off.
-            raise OverloadedError("the stores are full until old turns expire", retry_after=FULL_RETRY)
+            raise OverloadedError("the stores are full until old turns expire", retry_after=FULL_RETRY_AFTER)
         if route.retained and request.previous_turn:
             pending_history = defer.ensureDeferred(
                 self._capture_outcome(
                     self._turn_client.read_history(
-                        request.previous_turn, remaining_time(self._reactor, proxied_request) * PATIENCE_SHARE
+                        request.previous_turn, remaining_time(self._reactor, proxied_request) * QUEUE_WAIT_SHARE
                     )
                 )
             )
@@ -78,7 +78,7 @@
                     key,
                     "admit",
                     {"turn": request.try_id, "reserve": reserve, "limit": request.budget, "gate": self._node.node_id},
-                    remaining_time(self._reactor, proxied_request) * PATIENCE_SHARE,
+                    remaining_time(self._reactor, proxied_request) * QUEUE_WAIT_SHARE,
                 )
             )["state"]
         except OutcomeUnknownError as error:
--- a/packages/gateway/oakramp/gateway/replica_load.py
+++ b/packages/gateway/oakramp/gateway/replica_load.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakramp.common.constants import LOAD_AGE, LOAD_MEAN_AGE, LOAD_MEAN_STEP, LOAD_TOLD_MOST, QUEUED_SHARE
+from oakramp.common.constants import LOAD_AGE, LOAD_MEAN_AGE, LOAD_MEAN_STEP, LOAD_REPORT_MAX, QUEUED_SHARE
 
 
 class ServiceLoad:
--- a/packages/gateway/oakramp/gateway/request_losses.py
+++ b/packages/gateway/oakramp/gateway/request_losses.py
@@ -6,7 +6,7 @@
 
 import math
 
-from oakramp.common.constants import HELD_SHARE, LOSS_LINES
+from oakramp.common.constants import HELD_SHARE, LOSS_LOG_RATE
 from oakramp.common.errors import Verdict
 from oakramp.gateway.proxied_request import ClientDisconnectedError
 
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -5,8 +5,8 @@
 
 from oakramp.common.constants import (
     CALL_TIME,
-    FULL_RETRY,
-    PIECE_LIMIT,
+    FULL_RETRY_AFTER,
+    REPLICA_EVENT_LIMIT,
     SETTLE_TIME,
     SETTLE_WAIT,
     TIME_LEFT_LIMIT,
@@ -260,7 +260,7 @@
             request.ends_at - self._reactor.seconds(),
             last_check,
         )
-        lines = BodyLines(PIECE_LIMIT)
+        lines = BodyLines(REPLICA_EVENT_LIMIT)
         response.deliverBody(lines)
         if response.code != 200:
             raise await error_from_rejection(self._reactor, response, lines, CALL_TIME)
--- a/packages/gateway/oakramp/gateway/usage_counter.py
+++ b/packages/gateway/oakramp/gateway/usage_counter.py
@@ -15,7 +15,7 @@
 
 from oakramp.common.constants import (
     CLOCK_DIFFERENCE,
-    USAGE_HELD,
+    USAGE_HOLD_TIME,
     USAGE_REPORT_PAUSE,
     USAGE_REPORT_TIME,
     USAGE_SILENCE,
@@ -111,7 +111,7 @@
 
     async def _round(self) -> None:
         self._rounds_since_report += 1
-        if self._pending and self._node.reactor.seconds() >= self._pending[0][0] + USAGE_HELD:
+        if self._pending and self._node.reactor.seconds() >= self._pending[0][0] + USAGE_HOLD_TIME:
             self._stop_waiting_for_time()
         if self._is_changed or self._rounds_since_report >= USAGE_SILENCE:
             await self._report(USAGE_REPORT_TIME)
--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from oakramp.common.constants import (
-    CONDITION_AGE,
     FORGET_AGE,
     GOSSIP_CONTROL_PEER_COUNT,
-    HELD_UP,
+    GOSSIP_DELAY_LOGGED,
+    LIVENESS_AGE,
     OTHER_PEERS_ROUNDS,
     PULL_PAUSE,
     PULL_TIME,
@@ -196,7 +196,7 @@
         """Logs a round that started late: a process that was frozen, or got no CPU time, served no peer."""
         now = self._reactor.seconds()
         late_s, self._round_at = now - self._round_at - PULL_PAUSE, now
-        if late_s > HELD_UP:
+        if late_s > GOSSIP_DELAY_LOGGED:
             self._log.info("process_held_up", late_s=round(late_s, 3))
 
     async def _round(self):
@@ -321,7 +321,7 @@
                 self._sent_vectors[address] = sent
             return asked_at, update, sent.seen
 
-    def has_replied_recently(self, address, within_s=CONDITION_AGE):
+    def has_replied_recently(self, address, within_s=LIVENESS_AGE):
         """Whether this address itself has replied to a pull lately; ages reported by other nodes do not count."""
         answer = self._replies.get(address)
         return address == self._me.peer or self._is_within(answer and answer.asked_at, within_s)
@@ -331,14 +331,14 @@
         answer = self._replies.get(address)
         return 0.0 if answer is None else answer.took_s
 
-    def has_replied_as(self, node_id, address, within_s=CONDITION_AGE):
+    def has_replied_as(self, node_id, address, within_s=LIVENESS_AGE):
         """Whether this node itself replied at the address: after a disk loss, another node listens there."""
         if node_id == self._me.node_id:
             return True
         answer = self._replies.get(address)
         return answer is not None and answer.node_id == node_id and self._is_within(answer.asked_at, within_s)
 
-    def was_pulled_by(self, node_id, within_s=CONDITION_AGE):
+    def was_pulled_by(self, node_id, within_s=LIVENESS_AGE):
         """Whether this node has pulled from here within so many seconds, and therefore reaches this one."""
         return node_id == self._me.node_id or self._is_within(self._pulled_at.get(node_id), within_s)
 
--- a/packages/gossip/oakramp/gossip/state_table.py
+++ b/packages/gossip/oakramp/gossip/state_table.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from oakramp.common.constants import GONE_LIMIT
+from oakramp.common.constants import REMOVED_ITEMS_LIMIT
 from oakramp.gossip.version_exchange import unpack_ages
 from oakramp.rpc.codec import idl
 
@@ -94,7 +94,7 @@
         if not snapshot.version:
             snapshot.base = version
         snapshot.items |= {name: (version, value) for name, value in changed.items()}
-        if sum(value is None for _, value in snapshot.items.values()) > GONE_LIMIT:
+        if sum(value is None for _, value in snapshot.items.values()) > REMOVED_ITEMS_LIMIT:
             # Drops the tombstones; peers with an older version get the full snapshot instead of a delta.
             snapshot.items = {name: item for name, item in snapshot.items.items() if item[1] is not None}
             snapshot.base = version
--- a/packages/http_proxy/oakramp/http_proxy/connection.py
+++ b/packages/http_proxy/oakramp/http_proxy/connection.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import defer, error, protocol
 
-from oakramp.common.constants import ANSWER_HEAD_LIMIT, KEPT_MARGIN, KEPT_UNTOLD, TRAILER_LIMIT
+from oakramp.common.constants import KEEP_ALIVE_DEFAULT, KEEP_ALIVE_MARGIN, RESPONSE_HEAD_LIMIT, TRAILER_LIMIT
 from oakramp.common.errors import IncompleteResponseError, OutcomeUnknownError, UnreachableError, Verdict
 from oakramp.common.tcp_options import set_peer_options
 from oakramp.http_proxy.framing import ChunkedDecoder, MalformedMessageError, body_length, parse_fields
@@ -30,7 +30,7 @@
         self.is_retired = False
         self.usable_until = 0.0
         self.ready = self.connector = None
-        self._kept_for = KEPT_UNTOLD
+        self._kept_for = KEEP_ALIVE_DEFAULT
         self._head_waiting = self._answer = self._decoder = None
         self._buffer, self._left = b"", 0
         self._method = self._expect = None
@@ -48,7 +48,7 @@
 
     def connectionMade(self):
         set_peer_options(self.transport, probes=True)
-        self.usable_until = self._pool.reactor.seconds() + KEPT_UNTOLD
+        self.usable_until = self._pool.reactor.seconds() + KEEP_ALIVE_DEFAULT
         ready, self.ready = self.ready, None
         if ready is None:
             self.close()
@@ -132,8 +132,8 @@
         data = self._buffer + data if self._buffer else data
         while True:
             end = data.find(b"\r\n\r\n")
-            if end < 0 or end + 4 > ANSWER_HEAD_LIMIT:
-                if end >= 0 or len(data) >= ANSWER_HEAD_LIMIT:
+            if end < 0 or end + 4 > RESPONSE_HEAD_LIMIT:
+                if end >= 0 or len(data) >= RESPONSE_HEAD_LIMIT:
                     raise MalformedMessageError("a header block that is too long")
                 if not data.startswith(b"HTTP/1."[: len(data)]):
                     raise MalformedMessageError("the status line")
@@ -161,7 +161,7 @@
         options = own.get(b"connection", ())
         self._persists = b"close" not in options and (is_11 or b"keep-alive" in options)
         told = _TIMEOUT.search(b",".join(own[b"keep-alive"])) if b"keep-alive" in own else None
-        self._kept_for = int(told[1]) - KEPT_MARGIN if told else KEPT_UNTOLD
+        self._kept_for = int(told[1]) - KEEP_ALIVE_MARGIN if told else KEEP_ALIVE_DEFAULT
         is_bodiless = self._method == "HEAD" or status in (204, 304)
         self._left = 0 if is_bodiless else None if length == -1 else length
         self._decoder = ChunkedDecoder(TRAILER_LIMIT) if length is None and not is_bodiless else None
--- a/packages/http_proxy/oakramp/http_proxy/downstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/downstream.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer, protocol
 
-from oakramp.common.constants import EAGER_LIMIT, LINGER_TIME, TRAILER_LIMIT
+from oakramp.common.constants import LINGER_TIME, READ_AHEAD_LIMIT, TRAILER_LIMIT
 from oakramp.common.tcp_options import set_peer_options
 from oakramp.http_proxy.exchange import Exchange
 from oakramp.http_proxy.framing import (
@@ -135,7 +135,7 @@
         self._buffer = self._buffer + data if self._buffer else data
         if self.exchange is None:
             self._advance()
-        elif len(self._buffer) > EAGER_LIMIT and not self._paused:
+        elif len(self._buffer) > READ_AHEAD_LIMIT and not self._paused:
             self._paused = True
             self.transport.pauseProducing()
 
--- a/packages/http_proxy/oakramp/http_proxy/listener.py
+++ b/packages/http_proxy/oakramp/http_proxy/listener.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import defer, protocol
 
-from oakramp.common.constants import BODIES_LIMIT, CALLERS_LIMIT, QUIET_TIME
+from oakramp.common.constants import BODIES_LIMIT, CLIENTS_LIMIT, QUIET_TIME
 from oakramp.common.settings import split_address
 from oakramp.common.tasks import sleep
 from oakramp.http_proxy.downstream import DownstreamConnection
@@ -43,7 +43,7 @@
         refuse=None,
         on_crash=None,
         bodies_limit=BODIES_LIMIT,
-        callers_limit=CALLERS_LIMIT,
+        callers_limit=CLIENTS_LIMIT,
     ):
         self.reactor, self.address, self.handler, self.limits, self.log = reactor, address, handler, limits, log
         self.bound, self.bodies_limit, self.callers_limit = bound, bodies_limit, callers_limit
--- a/packages/http_proxy/oakramp/http_proxy/response.py
+++ b/packages/http_proxy/oakramp/http_proxy/response.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import defer
 
-from oakramp.common.constants import PIECES_LIMIT
+from oakramp.common.constants import RESPONSE_BUFFER_LIMIT
 from oakramp.common.errors import IncompleteResponseError, OutcomeUnknownError, TooLargeError, Verdict
 from oakramp.http_proxy.headers import WithHeaders
 
@@ -97,7 +97,7 @@
         """Keeps pieces for `next`; whoever waits is woken by `wake` or `end`."""
         self._pieces += pieces
         self._size += sum(map(len, pieces))
-        if self._size > PIECES_LIMIT and not self._paused:
+        if self._size > RESPONSE_BUFFER_LIMIT and not self._paused:
             self._paused = True
             self._connection.transport.pauseProducing()
 
--- a/packages/membership/oakramp/membership/members.py
+++ b/packages/membership/oakramp/membership/members.py
@@ -5,10 +5,10 @@
 from typing import Protocol
 
 from oakramp.common.constants import (
-    CONDITION_AGE,
     FORGET_AGE,
     GOSSIP_CONTROL_PEER_COUNT,
     GOSSIP_PEER_COUNT,
+    LIVENESS_AGE,
     PEERS_AGE,
     PULL_PAUSE,
 )
@@ -136,9 +136,9 @@
 
     def condition(self, node_id):
         """LIVE, LEAVING, PARTITIONED (it reaches no majority), STORAGE_FAULT (its disk refuses writes), or SILENT (no
-        heartbeat for longer than CONDITION_AGE)."""
+        heartbeat for longer than LIVENESS_AGE)."""
         key = self._latest.get(node_id)
-        if key is None or self._reactor.seconds() - self._seen_at(key) > CONDITION_AGE:
+        if key is None or self._reactor.seconds() - self._seen_at(key) > LIVENESS_AGE:
             return SILENT
         return CONDITION_OF_STATE.get(self._rows[key].state, PARTITIONED)
 
@@ -156,7 +156,7 @@
                 and key[0] != node_id
                 and self._rows[key].state == UP_STATE
                 and self._seen_at(key) > previous_seen_at
-                and now - self._seen_at(key) <= CONDITION_AGE
+                and now - self._seen_at(key) <= LIVENESS_AGE
             ),
             None,
         )
@@ -166,7 +166,7 @@
         return [
             member
             for member, age in self.newest().values()
-            if age <= CONDITION_AGE and member.state == UP_STATE and kind in (None, member.kind)
+            if age <= LIVENESS_AGE and member.state == UP_STATE and kind in (None, member.kind)
         ]
 
     def find(self, node_id):
--- a/packages/prefix_cache/oakramp/prefix_cache/cache_model.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/cache_model.py
@@ -9,7 +9,7 @@
 
 import math
 
-from oakramp.common.constants import CACHE_TIME_MOST
+from oakramp.common.constants import CACHE_TIME_MAX
 
 STEPS = 40  # halvings of the span; beyond what doubles can tell
 
@@ -21,7 +21,7 @@
 
 def characteristic_time(cache_tokens, sets, flow):
     """Seconds a part stays after its last use. `sets` are (tokens, requests/s), `flow` is in tokens/s."""
-    low, high = 0.0, CACHE_TIME_MOST
+    low, high = 0.0, CACHE_TIME_MAX
     if held(sets, flow, high) <= cache_tokens:
         return high
     for _ in range(STEPS):
--- a/packages/prefix_cache/oakramp/prefix_cache/counters.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/counters.py
@@ -9,7 +9,13 @@
 
 from cachetools import LFUCache
 
-from oakramp.common.constants import TENANT_ID_LIMIT, TENANT_PARTS, TENANT_PARTS_TOLD, TENANTS_COUNTED, TENANTS_TOLD
+from oakramp.common.constants import (
+    TENANT_ID_LIMIT,
+    TENANT_PARTS,
+    TENANT_PARTS_REPORTED,
+    TENANTS_COUNTED,
+    TENANTS_REPORTED,
+)
 
 
 def tenant_of(prefix):
@@ -58,7 +64,7 @@
 
     def told(self):
         """[requests, late ones, tokens, fresh tokens, [[part, tokens, uses, its only program or ""], most used first]]."""
-        used = sorted(self.parts.items(), key=lambda pair: -pair[1].uses)[:TENANT_PARTS_TOLD]
+        used = sorted(self.parts.items(), key=lambda pair: -pair[1].uses)[:TENANT_PARTS_REPORTED]
         return [
             *self.counts(),
             [
@@ -108,9 +114,9 @@
     def take(self):
         """What was counted since the last take: {"tenants": {tenant: [..]}, "rest": [requests, late, tokens, fresh]}."""
         ranked = sorted(self._tenants.items(), key=lambda pair: (-pair[1].tokens, pair[0]))
-        for _, tenant in ranked[TENANTS_TOLD:]:
+        for _, tenant in ranked[TENANTS_REPORTED:]:
             self._give_up(tenant)
-        told = {"tenants": {name: tenant.told() for name, tenant in ranked[:TENANTS_TOLD]}, "rest": self._rest}
+        told = {"tenants": {name: tenant.told() for name, tenant in ranked[:TENANTS_REPORTED]}, "rest": self._rest}
         self._clear()
         return told
 
--- a/packages/prefix_cache/oakramp/prefix_cache/detector.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/detector.py
@@ -20,7 +20,7 @@
     EVICTED_SHARE,
     EVICTION_ROUND,
     EVICTION_WINDOW,
-    REPORT_GATES,
+    REPORTING_GATEWAYS,
     TRAP_LATE,
     TRAP_REQUESTS,
     TRAP_ROUNDS,
@@ -64,7 +64,7 @@
 
     def add(self, now, gate, number, report):
         """Whether it was new. `report` is {"cache": tokens, "tenants": .., "rest": ..}."""
-        if self._last.get(gate, -1) >= number or (gate not in self._last and len(self._last) >= REPORT_GATES):
+        if self._last.get(gate, -1) >= number or (gate not in self._last and len(self._last) >= REPORTING_GATEWAYS):
             return False
         self._last[gate] = number
         self._reports.append((now, gate, report))
--- a/packages/rpc/oakramp/rpc/endpoint.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -21,8 +21,8 @@
     PEER_IN_FLIGHT,
     RECONNECT_PAUSE,
     REDIAL_PAUSE,
-    SILENT_LEAST,
-    SILENT_MOST,
+    SILENT_CALL_TIME_MIN,
+    SILENT_CONNECTION_TIME,
     WIRE_SPAN,
     WIRE_VERSION,
 )
@@ -211,7 +211,7 @@
             pending = self._in_flight.pop(call_id, None)
             if pending is None:
                 continue  # the errback of an earlier call has closed the connection
-            if pending.received == self.received and now - pending.sent_at >= SILENT_LEAST:
+            if pending.received == self.received and now - pending.sent_at >= SILENT_CALL_TIME_MIN:
                 self._note_silent(now - pending.sent_at)
             pending.reply.errback(OutcomeUnknownError(f"no reply to {pending.method} before the deadline"))
         if self._in_flight:
@@ -470,9 +470,9 @@
     async def _replace_silent(self, address, silent):
         """Dials beside a connection that has fallen silent, until bytes arrive on it or a new one is established.
 
-        After SILENT_MOST seconds the silent one is closed, so that calls fail at once instead of at their deadlines.
+        After SILENT_CONNECTION_TIME seconds the silent one is closed, so that calls fail at once instead of at their deadlines.
         """
-        ends_at, received = self.reactor.seconds() + SILENT_MOST, silent.received
+        ends_at, received = self.reactor.seconds() + SILENT_CONNECTION_TIME, silent.received
         while silent.connected and silent.received == received:
             if self.reactor.seconds() >= ends_at:
                 silent.transport.abortConnection()
--- a/packages/storage/oakramp/storage/circular_log.py
+++ b/packages/storage/oakramp/storage/circular_log.py
@@ -31,7 +31,7 @@
 
 from oakramp.common.constants import (
     LOG_RECOVERY_PAUSE,
-    LOG_RECOVERY_PAUSE_MOST,
+    LOG_RECOVERY_PAUSE_MAX,
     RING_BATCH,
     RING_FILE_SIZE,
     RING_FILES,
@@ -378,7 +378,7 @@
         pause, began_at = LOG_RECOVERY_PAUSE, self._seconds()
         while not self._is_closed:
             await sleep(self._reactor, pause * self._random.uniform(0.5, 1.0))
-            pause = min(2 * pause, LOG_RECOVERY_PAUSE_MOST)
+            pause = min(2 * pause, LOG_RECOVERY_PAUSE_MAX)
             if self._is_closed:
                 return
             try:
--- a/packages/store/oakramp/store/conversations.py
+++ b/packages/store/oakramp/store/conversations.py
@@ -3,7 +3,7 @@
 
 import json
 
-from oakramp.common.constants import CALL_TIME, LINE_TURNS, STORE_CALL_TIME
+from oakramp.common.constants import CALL_TIME, CONVERSATION_TURNS, STORE_CALL_TIME
 from oakramp.common.errors import (
     ConflictError,
     OakrampError,
@@ -97,8 +97,8 @@
         with the same turn, which the next write supersedes."""
         if turn_id in line.turns and line.turns[turn_id] != turn:
             raise ConflictError(f"turn {turn_id} is on this line already")
-        if len(line.turns) >= LINE_TURNS:
-            raise ConflictError(f"a line holds at most {LINE_TURNS} turns")
+        if len(line.turns) >= CONVERSATION_TURNS:
+            raise ConflictError(f"a line holds at most {CONVERSATION_TURNS} turns")
         value = pack_json({"turns": line.turns | {turn_id: turn}})
         reactor = self._node.reactor
         ends_at = reactor.seconds() + time_left
--- a/packages/store/oakramp/store/record_table.py
+++ b/packages/store/oakramp/store/record_table.py
@@ -19,12 +19,12 @@
 from oakramp.common.constants import (
     CLEANUP_BUCKETS,
     CLEANUP_KEYS,
-    FULL_SHARE,
-    LINE_KEPT,
-    LINE_KEPT_FULL,
+    CONVERSATION_KEPT,
+    CONVERSATION_KEPT_FULL,
+    STORE_EARLY_EVICTION_SHARE,
     STORE_FULL,
-    STORE_OWNERS,
     STORE_QUEUE_LIMIT,
+    STORE_TABLES,
 )
 from oakramp.common.errors import StorageError
 from oakramp.common.validation import pack_json
@@ -131,7 +131,7 @@
         self._buckets = [SortedDict() for _ in range(CLEANUP_BUCKETS)]
         self._sums, self._stale = [0] * CLEANUP_BUCKETS, set()
         self._births = int(ring.table.get(BIRTHS, b"0"))
-        self._owners = [SerialExecutor(STORE_QUEUE_LIMIT, f"lines{index}", node.log) for index in range(STORE_OWNERS)]
+        self._owners = [SerialExecutor(STORE_QUEUE_LIMIT, f"lines{index}", node.log) for index in range(STORE_TABLES)]
         for name, data in ring.table.items(ROW):
             clock_id, _, state = data.partition(b"\0")
             self._enter(
@@ -173,7 +173,7 @@
             owner.stop()
 
     def _do(self, command, key, *arguments):
-        return self._owners[shard_of(key, STORE_OWNERS)].do(command, key, *arguments)
+        return self._owners[shard_of(key, STORE_TABLES)].do(command, key, *arguments)
 
     def _strip(self, clock):
         if not any(store_of(clock_id) in self.pruned for clock_id in clock.entries):
@@ -384,7 +384,11 @@
 
     def kept_for(self):
         """Seconds; less when the ring fills up, but always well over the rule's minute."""
-        return LINE_KEPT if self._ring.live_bytes() < FULL_SHARE * self._ring.capacity() else LINE_KEPT_FULL
+        return (
+            CONVERSATION_KEPT
+            if self._ring.live_bytes() < STORE_EARLY_EVICTION_SHARE * self._ring.capacity()
+            else CONVERSATION_KEPT_FULL
+        )
 
     def is_full(self):
         return self._ring.live_bytes() > STORE_FULL * self._ring.capacity()
--- a/packages/store/oakramp/store/records.py
+++ b/packages/store/oakramp/store/records.py
@@ -12,7 +12,7 @@
 
 from sortedcontainers import SortedList
 
-from oakramp.common.constants import READ_HISTORY_KEPT, RECORD_KEPT_MOST, RECORDS_DROPPED
+from oakramp.common.constants import READ_HISTORY_KEPT, RECORD_KEPT_MAX, RECORDS_DROPPED
 from oakramp.common.errors import BadRequestError
 
 RECORD_ROW = "t/"
@@ -204,7 +204,7 @@
         return header.turn_id
 
     def _enter(self, header, left):
-        until = self._reactor.seconds() + min(left, RECORD_KEPT_MOST)
+        until = self._reactor.seconds() + min(left, RECORD_KEPT_MAX)
         row = self._rows.get(header.turn_id)
         if row is not None:
             self._lengthen(header.turn_id, row, until)
--- a/packages/store/oakramp/store/store_client.py
+++ b/packages/store/oakramp/store/store_client.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from oakramp.common.constants import STORE_CALL_TIME, STORE_HOLD_FIRST, STORE_HOLD_MOST
+from oakramp.common.constants import STORE_BACKOFF, STORE_BACKOFF_MAX, STORE_CALL_TIME
 from oakramp.common.errors import OakrampError, OutcomeUnknownError, OverloadedError, StaleEpochError, UnreachableError
 
 STORE_FAILURES = (
@@ -36,8 +36,8 @@
 
 class StoreClient:
     """Invariant: a store is in `_failing` from a call that failed until the next one that succeeds. While it is, one
-    call goes through after each pause, and the pause doubles up to STORE_HOLD_MOST as long as these fail. One log line
-    tells when it begins, and one when it ends."""
+    call goes through after each pause, and the pause doubles up to STORE_BACKOFF_MAX as long as these fail. One log
+    line tells when it begins, and one when it ends."""
 
     def __init__(self, node):
         self._node, self._reactor = node, node.reactor
@@ -78,7 +78,7 @@
     def forget(self):
         """The set has changed: what a store refused before, it may do now."""
         for failing in self._failing.values():
-            failing.until, failing.pause = self._reactor.seconds(), STORE_HOLD_FIRST
+            failing.until, failing.pause = self._reactor.seconds(), STORE_BACKOFF
 
     def _failed(self, node_id, error, began, time_left):
         now = self._reactor.seconds()
@@ -89,10 +89,10 @@
         self.counts["failed"] += 1
         failing = self._failing.get(node_id)
         if failing is None:
-            self._failing[node_id] = _Failing(now, now + self._drawn(STORE_HOLD_FIRST), STORE_HOLD_FIRST)
+            self._failing[node_id] = _Failing(now, now + self._drawn(STORE_BACKOFF), STORE_BACKOFF)
             self._node.log.warning("store_calls_failing", store=node_id, reason=error.reason)
         elif began >= failing.since:  # else one of several that were under way together
-            failing.pause = min(2 * failing.pause, STORE_HOLD_MOST)
+            failing.pause = min(2 * failing.pause, STORE_BACKOFF_MAX)
             failing.since, failing.until = now, now + self._drawn(failing.pause)
 
     def _drawn(self, pause):
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -10,9 +10,9 @@
 from oakramp.common.constants import (
     ACCEPT_QUEUE_LIMIT,
     CLEANUP_HINTS,
+    CONVERSATION_KEPT,
+    CONVERSATION_SIZE,
     HINT_LIMIT,
-    LINE_KEPT,
-    LINE_SIZE,
     RECORD_PAGE,
     RING_COMMIT_SHARE,
     STORE_CALL_TIME,
@@ -168,8 +168,8 @@
         self._check_epoch(arguments.store_epoch)
         if not self.is_member:
             raise StaleEpochError("this store is not in the set")
-        if len(arguments.value) > LINE_SIZE:
-            raise TooLargeError(f"a line of {len(arguments.value)} bytes is over {LINE_SIZE}")
+        if len(arguments.value) > CONVERSATION_SIZE:
+            raise TooLargeError(f"a line of {len(arguments.value)} bytes is over {CONVERSATION_SIZE}")
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
@@ -253,8 +253,8 @@
         self._check_epoch(arguments.store_epoch)
         if not self.is_member:
             raise StaleEpochError("this store is not in the set")
-        if len(arguments.value) > LINE_SIZE:
-            raise TooLargeError(f"the turns of a line take {len(arguments.value)} bytes, over {LINE_SIZE}")
+        if len(arguments.value) > CONVERSATION_SIZE:
+            raise TooLargeError(f"the turns of a line take {len(arguments.value)} bytes, over {CONVERSATION_SIZE}")
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
@@ -366,7 +366,7 @@
 
     async def _hand_over(self, node_id, peer):
         for key in list(islice(self._hints.get(node_id, ()), CLEANUP_HINTS)):
-            if self.table.age(key) >= LINE_KEPT or key not in self.table.rows:
+            if self.table.age(key) >= CONVERSATION_KEPT or key not in self.table.rows:
                 self._hints.get(node_id, {}).pop(key, None)
                 continue
             state = to_state(self.table.versions(key), store_epoch=self.stores.epoch, age=self.table.age(key))
--- a/packages/store/oakramp/store/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -7,14 +7,14 @@
 from twisted.internet import defer
 
 from oakramp.common.constants import (
-    CONDITION_AGE,
-    FULL_KNOWN,
-    LATE_TIMES,
-    LINE_TURNS,
+    CONVERSATION_TURNS,
+    LATE_FACTOR,
+    LIVENESS_AGE,
     READ_HISTORY_HEDGE,
     RETAIN_HEDGE,
     RETAIN_MARGIN,
     STORE_CALL_TIME,
+    STORE_FULL_AGE,
 )
 from oakramp.common.errors import (
     ConflictError,
@@ -135,7 +135,7 @@
         """Whether most of the stores said lately that they have no room: what runs now might not be kept."""
         now = self._reactor.seconds()
         full = [
-            node_id for node_id in self._stores.readers if now - self._full.get(node_id, float("-inf")) < FULL_KNOWN
+            node_id for node_id in self._stores.readers if now - self._full.get(node_id, float("-inf")) < STORE_FULL_AGE
         ]
         return len(full) >= majority(self._stores.readers)
 
@@ -145,7 +145,7 @@
 
         def place(node_id):
             member, age = members.find_with_age(node_id)
-            is_live = member is not None and age <= CONDITION_AGE and member.state == UP_STATE
+            is_live = member is not None and age <= LIVENESS_AGE and member.state == UP_STATE
             return (
                 not is_live,
                 self._slow.get(node_id, 0.0) > now,
@@ -223,7 +223,7 @@
         measured by what is usual, so that busy stores are not asked more than quick ones."""
         waiting, answered = {}, None
         order = [node_id for node_id in node_ids if not self.calls.is_held(node_id)]
-        hedge = max(HEDGES[kind], LATE_TIMES * self._usual.get(kind, 0.0))
+        hedge = max(HEDGES[kind], LATE_FACTOR * self._usual.get(kind, 0.0))
 
         async def ask_one(node_id):
             try:
@@ -294,8 +294,8 @@
         key = line_key_of(session)
         is_same = recalled is not None and recalled.line_key == key
         turns = recalled.turns if is_same else {}
-        if len(turns) >= LINE_TURNS:
-            raise ConflictError(f"a line holds at most {LINE_TURNS} turns")
+        if len(turns) >= CONVERSATION_TURNS:
+            raise ConflictError(f"a line holds at most {CONVERSATION_TURNS} turns")
         value = pack_turns(turns | {record.turn_id: record.parent})
         packed = pack_record(record.turn_id, record.parent, key, keep_s + RETAIN_MARGIN, record.input, record.output)
         context = recalled.context if is_same else ""
--- a/packages/testbed/oakramp/testbed/caller.py
+++ b/packages/testbed/oakramp/testbed/caller.py
@@ -3,7 +3,7 @@
 import json
 from dataclasses import dataclass, field
 
-from oakramp.common.constants import PIECE_LIMIT
+from oakramp.common.constants import REPLICA_EVENT_LIMIT
 from oakramp.common.errors import OakrampError, OutcomeUnknownError, Verdict
 from oakramp.common.http_client import BodyLines
 from oakramp.common.tasks import settled, sleep, within
@@ -183,7 +183,7 @@
                 "POST", gate, path, asked.body | {"request": attempt.request}, asked.body["timeLeft"] + 10
             )
             attempt.status = response.code
-            lines = BodyLines(PIECE_LIMIT)
+            lines = BodyLines(REPLICA_EVENT_LIMIT)
             response.deliverBody(lines)
             await within(
                 self._reactor,
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -459,7 +459,7 @@
     CodeMutation(
         "a young view refuses nothing",
         "control/oakramp/control/quorum_contact.py",
-        "return self.seconds() >= VIEW_AGE",
+        "return self.seconds() >= CONTACT_AGE",
         "return True",
         "test_cut_off.RecentContact.test_stores_that_are_not_back_yet_are_not_unknown",
     ),
@@ -577,7 +577,7 @@
     CodeMutation(
         "no answer from before a freeze",
         "control/oakramp/control/operator_api.py",
-        "if self._node.reactor.seconds() - asked_at > OPERATOR_ANSWER_AGE:",
+        "if self._node.reactor.seconds() - asked_at > OPERATOR_RESPONSE_AGE:",
         "if False:",
         "test_cut_off.FrozenAnswers.test_a_read",
     ),
@@ -994,7 +994,7 @@
     CodeMutation(
         "an answer on its way is waited for",
         "control/oakramp/control/leader_changes.py",
-        "self._reactor.callLater(OWNER_LEFT_PAUSE, partial(self._abandon, shard, outcome))",
+        "self._reactor.callLater(LEADER_CHANGED_GRACE, partial(self._abandon, shard, outcome))",
         "self._reactor.callLater(0, partial(self._abandon, shard, outcome))",
         "test_failover.LeaderChangeWatchTest.test_an_answer_within_the_pause_counts",
     ),
@@ -1022,8 +1022,8 @@
     CodeMutation(
         "the first candidate's own turn",
         "control/oakramp/control/failover.py",
-        "late_s = leaderless_s - CONDITION_AGE - CANDIDATE_TURN_TIME",
-        "late_s = leaderless_s - CONDITION_AGE - LEASE",
+        "late_s = leaderless_s - LIVENESS_AGE - CANDIDATE_TURN_TIME",
+        "late_s = leaderless_s - LIVENESS_AGE - LEASE",
         "test_failover.LeaseExpiryTest.test_one_other_node_steps_in_if_the_first_candidate_does_not",
     ),
     CodeMutation(
@@ -1291,8 +1291,8 @@
     CodeMutation(
         "a lost store's place is given away before the next may be lost",
         "control/oakramp/control/store_membership.py",
-        "max(2 * CONDITION_AGE, rejoin - STORES_JOIN_TIME)",
-        "STORES_PATIENCE + rejoin * 0",
+        "max(2 * LIVENESS_AGE, rejoin - STORES_JOIN_TIME)",
+        "STORES_REPLACE_AFTER + rejoin * 0",
         "test_second_loss.ReplacedStore.test_lost_for_good",
     ),
     CodeMutation(
@@ -1434,15 +1434,15 @@
     CodeMutation(
         "a majority that answers late is reached",
         "control/oakramp/control/shard_client.py",
-        "return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))",
-        "return MAJORITY_WAIT",
+        "return min(MAJORITY_CHECK_TIME_MAX, max(MAJORITY_CHECK_TIME, 2 * took[len(took) // 2]))",
+        "return MAJORITY_CHECK_TIME",
         "test_slow_majority.SlowMajority.test_each_node_acknowledges_an_order",
     ),
     CodeMutation(
         "who reaches no majority says so to an operator at once",
         "control/oakramp/control/shard_client.py",
-        "return min(MAJORITY_WAIT_MOST, max(MAJORITY_WAIT, 2 * took[len(took) // 2]))",
-        "return MAJORITY_WAIT_MOST",
+        "return min(MAJORITY_CHECK_TIME_MAX, max(MAJORITY_CHECK_TIME, 2 * took[len(took) // 2]))",
+        "return MAJORITY_CHECK_TIME_MAX",
         "test_slow_majority.SlowMajority.test_a_partitioned_node_still_refuses_at_once",
     ),
     CodeMutation(
@@ -1833,7 +1833,7 @@
     CodeMutation(
         "a clock that was silent for long has no say",
         "common/oakramp/common/wall_clock.py",
-        "now - at > CLOCK_VOICE_AGE]",
+        "now - at > REPORTED_CLOCK_AGE]",
         "False]",
         "test_usage_clocks.MedianOfClocks.test_clock_of_a_silent_machine_expires",
     ),
@@ -1889,7 +1889,7 @@
     CodeMutation(
         "a report that is refused for good holds up no other",
         "control/oakramp/control/usage_report.py",
-        "if self._refusals < FENCED_REFUSALS_MOST:",
+        "if self._refusals < FENCED_REFUSALS_MAX:",
         "if True:",
         "test_fenced_tasks_fleet.Fleet.test_a_permanently_refused_report_does_not_block_others",
     ),
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_PATIENCE
+from oakramp.common.constants import EVICTION_ROUND, PLACEMENT_WAIT_SHARE
 from oakramp.common.errors import OakrampError
 from oakramp.common.metrics import Metrics
 from oakramp.common.registry import Registry
@@ -189,7 +189,7 @@
             program,
             frozenset(),
             tenant_of(prefix),
-            now + PATIENCE * PLACEMENT_PATIENCE,
+            now + PATIENCE * PLACEMENT_WAIT_SHARE,
         )
 
     # --- load ---
--- a/packages/testbed/oakramp/testbed/explore/clock.py
+++ b/packages/testbed/oakramp/testbed/explore/clock.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from oakramp.common.constants import STEP_PAUSE
+from oakramp.common.constants import APPEND_BATCH_DELAY
 
 
 class Timer:
@@ -43,7 +43,7 @@
 
     def callLater(self, delay, function, *arguments, **named):
         due = self._world.now + max(0.0, delay)
-        timer = Timer(next(self._order), due, delay <= STEP_PAUSE, function, arguments, named)
+        timer = Timer(next(self._order), due, delay <= APPEND_BATCH_DELAY, function, arguments, named)
         self._timers.append(timer)
         return timer
 
--- a/packages/testbed/oakramp/testbed/rush.py
+++ b/packages/testbed/oakramp/testbed/rush.py
@@ -17,7 +17,7 @@
 
 from twisted.internet.defer import Deferred
 
-from oakramp.common.constants import PATIENCE_SHARE, PLACEMENT_PATIENCE
+from oakramp.common.constants import PLACEMENT_WAIT_SHARE, QUEUE_WAIT_SHARE
 from oakramp.common.errors import OakrampError
 from oakramp.common.registry import Registry
 from oakramp.common.structured_logging import EventLogger
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -7,7 +7,7 @@
 
 from twisted.internet import task
 
-from oakramp.common.constants import LATE_LEAST, LATE_TIMES, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
+from oakramp.common.constants import LATE_FACTOR, LATE_MIN, OUTLIER_FAULTS, OUTLIER_SHARE, OUTLIER_WINDOW
 from oakramp.common.structured_logging import EventLogger
 from oakramp.gateway.outliers import FAULTS, Outliers
 from oakramp.gossip.state_table import StateTable
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -8,7 +8,7 @@
 
 import unittest
 
-from oakramp.common.constants import BEGIN_PATIENCE_SHARE, BEGIN_SHARE, PROGRAMS_KNOWN, QUEUED_SHARE
+from oakramp.common.constants import FIRST_TURN_DEADLINE_SHARE, FIRST_TURN_SHARE, PROGRAMS_KNOWN, QUEUED_SHARE
 from oakramp.gateway.programs import Programs
 from oakramp.gateway.proxy_types import ProxyRequest
 
