--- a/packages/common/oakramp/common/bounded_queue.py
+++ b/packages/common/oakramp/common/bounded_queue.py
@@ -1,4 +1,4 @@
-"""Bounded inboxes between stages, and the owner of a table that works through one."""
+"""Bounded queues between stages, and an executor that runs the commands on a table one at a time."""
 
 from collections import deque
 
@@ -9,55 +9,55 @@
 
 
 class BoundedQueue:
-    """A first-in, first-out queue between two stages that rejects what is over its limit."""
+    """A first-in, first-out queue between two stages that rejects items above its limit."""
 
-    # Invariants: never more than `limit` waiting; either items or takers wait, never both.
+    # Invariants: at most `limit` items wait; items and receivers never wait at the same time.
     def __init__(self, limit, name):
         self.limit, self.name = limit, name
         self._items = deque()
-        self._takers = deque()
+        self._receivers = deque()
 
     def __len__(self):
         return len(self._items)
 
     def put(self, item):
-        """Queues an item, or hands it to a waiting taker. Raises OverloadedError if the queue is full."""
-        while self._takers:
-            taker = self._takers.popleft()
-            if not taker.called:
-                taker.callback(item)
+        """Queues an item, or passes it to a waiting receiver. Raises OverloadedError if the queue is full."""
+        while self._receivers:
+            receiver = self._receivers.popleft()
+            if not receiver.called:
+                receiver.callback(item)
                 return
         if len(self._items) >= self.limit:
-            raise OverloadedError(f"inbox {self.name} is full")
+            raise OverloadedError(f"queue {self.name} is full")
         self._items.append(item)
 
     def take(self):
         """Fires with the next item."""
         if self._items:
             return defer.succeed(self._items.popleft())
-        taker = defer.Deferred()
-        self._takers.append(taker)
-        return taker
+        receiver = defer.Deferred()
+        self._receivers.append(receiver)
+        return receiver
 
     def take_ready(self, most):
-        """What waits right now, at most `most` items."""
+        """Removes and returns the items that wait now, at most `most` of them."""
         return [self._items.popleft() for _ in range(min(most, len(self._items)))]
 
 
 class SerialExecutor:
-    """The one that touches a table: commands are coroutine functions, run strictly in order, at once if none is under
-    way.
+    """Runs the commands on a table strictly one after another, so that nothing else changes the table meanwhile.
+    Commands are coroutine functions; one runs at once if no other is running.
 
-    Invariant: while one is under way, or the table is held, `_isBusy` is set and nothing else is begun."""
+    Invariant: while a command runs, or the table is acquired, `_is_busy` is set and no other command is started."""
 
     def __init__(self, limit, name, log):
         self._limit, self._name, self._log = limit, name, log
         self._waiting = deque()
         self._is_busy = self._is_stopped = False
-        self.waiting = None  # what the command under way waits for
+        self.waiting = None  # the Deferred that the running command awaits
 
     def stop(self):
-        """Drops what waits and cancels the command under way."""
+        """Drops the waiting commands and cancels the running one."""
         self._is_stopped = True
         self._waiting.clear()
         if self._is_busy and self.waiting is not None:
@@ -66,47 +66,51 @@
     def do(self, command, *arguments):
         """Runs a command after all those before it; fires with its result. Raises OverloadedError if too many wait."""
         if len(self._waiting) >= self._limit:
-            raise OverloadedError(f"inbox {self._name} is full")
-        answer = defer.Deferred()
-        self._waiting.append((command, arguments, answer))
+            raise OverloadedError(f"queue {self._name} is full")
+        outcome = defer.Deferred()
+        self._waiting.append((command, arguments, outcome))
         if not self._is_busy:
-            self._work()
-        return answer
+            self._run_waiting()
+        return outcome
 
-    def hold(self):
-        """Whether the table is the caller's from now on, until it lets go."""
+    def acquire(self):
+        """Reserves the table for the caller until `release`. Returns False if a command runs, the table is acquired
+        already, or the executor is stopped."""
         if self._is_busy or self._is_stopped:
             return False
         self._is_busy = True
         return True
 
-    def let_go(self):
-        """Ends what `hold` began: the next command may run."""
+    def release(self):
+        """Ends the reservation of `acquire`: the next command may run."""
         self._is_busy = False
-        self._work()
+        self._run_waiting()
 
-    def _work(self):
-        """Begins what waits, one after another. One that ends at once ends inside this loop, so that many do not nest."""
+    def _run_waiting(self):
+        """Starts the waiting commands one after another. Those that end at once are handled in this loop, so that many
+        of them do not nest calls."""
         while self._waiting and not self._is_busy and not self._is_stopped:
-            command, arguments, answer = self._waiting.popleft()
+            command, arguments, outcome = self._waiting.popleft()
             self._is_busy = True
-            begun = []
+            started = []
             drive(
                 command(*arguments),
-                lambda value, error, answer=answer, begun=begun: self._ended(answer, value, error, bool(begun)),
+                lambda value, error, outcome=outcome, started=started: self._ended(
+                    outcome, value, error, bool(started)
+                ),
                 self,
             )
-            begun.append(True)
+            started.append(True)
 
-    def _ended(self, answer, value, error, is_late):
+    def _ended(self, outcome, value, error, ended_later):
         self._is_busy = False
         self.waiting = None
         if self._is_stopped:
             return
-        if not answer.called:
+        if not outcome.called:
             if error is None:
-                answer.callback(value)
+                outcome.callback(value)
             else:
-                answer.errback(error)
-        if is_late:
-            self._work()
+                outcome.errback(error)
+        if ended_later:
+            self._run_waiting()
--- a/packages/common/oakramp/common/tasks.py
+++ b/packages/common/oakramp/common/tasks.py
@@ -1,4 +1,4 @@
-"""Small helpers for coroutines on a Twisted reactor that is handed in."""
+"""Helpers to run coroutines on a Twisted reactor that the caller passes in."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 def monotonic_reactor():
-    """The process's reactor, with its time made monotonic: Twisted takes wall time, which may jump."""
+    """The process's reactor, set to monotonic time: Twisted uses wall time, which may jump."""
     install()
     from twisted.internet import reactor
 
@@ -19,10 +19,9 @@
 
 
 def drive(coroutine, ended, task=None):
-    """Runs a coroutine up to its end, and then calls `ended(value, error)`; all of it at once, if nothing that it
-    awaits has to be waited for. Twisted's own driver makes a Deferred and a context for each step, which was half of a
-    call's
-    time."""
+    """Runs a coroutine to its end and then calls `ended(value, error)`; both happen before this function returns if
+    everything that the coroutine awaits is already available. Twisted's own driver creates a Deferred and a context for
+    each step, which was half of a call's time."""
     _advance(None, coroutine, ended, task)
 
 
@@ -42,12 +41,12 @@
 
 
 class Task(defer.Deferred):
-    """A coroutine under way. Cancelling it cancels what it waits for; it ends as the coroutine then does."""
+    """A running coroutine. Cancelling it cancels the Deferred that it awaits; its result is that of the coroutine."""
 
     waiting = None
 
     def cancel(self):
-        """Cancels what the coroutine waits for; it may still clean up before it ends."""
+        """Cancels the Deferred that the coroutine awaits; the coroutine may still clean up before it ends."""
         if self.called or self.waiting is None:
             super().cancel()
             return
@@ -55,7 +54,7 @@
 
 
 def begin(awaited):
-    """The Deferred of a coroutine, which runs from now on; a Deferred is one already."""
+    """Starts a coroutine and returns the Deferred of its result; a Deferred is returned as it is."""
     if isinstance(awaited, defer.Deferred):
         return awaited
     task = Task()
@@ -71,7 +70,7 @@
 
 
 def spawn(coroutine, log=None):
-    """Starts a task; what it raises is logged and goes no further."""
+    """Starts a task whose exceptions are logged and not passed on."""
     task = begin(coroutine)
 
     def failed(failure):
@@ -95,23 +94,24 @@
 
 
 def within(reactor, seconds, awaited, error=None):
-    """The awaited result, or `error` once the time is over; the awaited thing is then cancelled."""
+    """Fires with the result of `awaited`; after `seconds` without one cancels it and fails with `error`, by default
+    DeadlineExceededError."""
     work = begin(awaited)
     outcome = defer.Deferred(lambda _: work.cancel())
-    spent = []
+    timed_out = []
 
-    def over():
-        spent.append(True)
+    def on_timeout():
+        timed_out.append(True)
         work.cancel()
         if not outcome.called:
             outcome.errback(error or DeadlineExceededError(f"no answer within {seconds:.2f} s"))
 
-    call = reactor.callLater(max(0.0, seconds), over)
+    call = reactor.callLater(max(0.0, seconds), on_timeout)
 
     def finished(result):
         if call.active():
             call.cancel()
-        if spent or outcome.called:
+        if timed_out or outcome.called:
             return None
         outcome.callback(result)
         return None
@@ -121,7 +121,7 @@
 
 
 def shielded(work):
-    """Fires with the work's result, but cancelling it leaves the work alone."""
+    """Fires with the result of `work`; cancelling it does not cancel `work`."""
     waiting = defer.Deferred(lambda _: None)
 
     def pass_on(result):
@@ -134,31 +134,31 @@
 
 
 async def settled(awaitables):
-    """Waits for all and returns (ok, value-or-error) pairs in order."""
+    """Waits for all of them and returns a pair for each, in order: (True, value) or (False, error)."""
     pairs = await defer.DeferredList([begin(one) for one in awaitables], consumeErrors=True)
     return [(ok, value if ok else value.value) for ok, value in pairs]
 
 
 def quorum_of(works, is_enough):
-    """`works` maps names to awaitables. Fires with (True, answers by name) once those that answered are enough,
-    or with (False, errors by name) once they can no longer be. Later answers are left to finish."""
-    outcome, answers, errors, pending = defer.Deferred(), {}, {}, set(works)
+    """`works` maps names to awaitables. Fires with (True, results by name) once those that succeeded are enough, or
+    with (False, errors by name) once they can no longer be. The remaining awaitables run on to their end."""
+    outcome, results, errors, pending = defer.Deferred(), {}, {}, set(works)
 
     def settle(result, name, rows):
         rows[name] = result
         pending.discard(name)
         if outcome.called:
             return
-        if is_enough(answers.keys()):
-            outcome.callback((True, dict(answers)))
-        elif not is_enough(answers.keys() | pending):
+        if is_enough(results.keys()):
+            outcome.callback((True, dict(results)))
+        elif not is_enough(results.keys() | pending):
             outcome.callback((False, dict(errors)))
 
     for name, one in works.items():
         begin(one).addCallbacks(
             settle,
             lambda failure, name: settle(failure.value, name, errors),
-            callbackArgs=(name, answers),
+            callbackArgs=(name, results),
             errbackArgs=(name,),
         )
     if not works and not outcome.called:
@@ -167,19 +167,19 @@
 
 
 class Repeater:
-    """A task that runs `round` again and again with a pause, until stopped."""
+    """A task that runs `round_function` again and again, with a pause after each run, until it is stopped."""
 
     def __init__(self, reactor, pause, round_function, log):
         self._reactor, self._pause, self._round, self._log = reactor, pause, round_function, log
         self._task = None
 
     def start(self):
-        """Starts the rounds, the first one at once."""
+        """Starts the task; the first round runs at once."""
         self._task = spawn(self._run(), self._log)
         return self
 
     def stop(self):
-        """Cancels the round under way; no other follows."""
+        """Cancels the current round; no further one is run."""
         if self._task is not None:
             self._task.cancel()
 
@@ -191,6 +191,6 @@
                 raise
             except OakrampError as error:
                 self._log.warning("periodic_task_failed", round=self._round.__qualname__, reason=error.reason)
-            except Exception as error:  # one bad round must not end the duty
+            except Exception as error:  # a failed round must not end the task
                 self._log.error("periodic_task_crashed", round=self._round.__qualname__, error=repr(error))
             await sleep(self._reactor, self._pause)
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -390,7 +390,7 @@
             for request in [unpack(idl.AppendEntries, data) for data in arguments.steps or []]:
                 if not 0 <= request.shard < SHARDS:
                     raise StaleEpochError(f"there is no shard {request.shard}")
-                if not self._executors[request.shard].hold():
+                if not self._executors[request.shard].acquire():
                     answers.append(idl.AppendResponse(taken=False, again=True))
                     continue
                 held_executors.append(self._executors[request.shard])
@@ -410,7 +410,7 @@
                     self._apply(*change)
         finally:
             for executor in held_executors:
-                executor.let_go()
+                executor.release()
         return answers
 
     async def _write_append(self, shard, table, changed, header):
