--- a/packages/common/oakramp/common/errors.py
+++ b/packages/common/oakramp/common/errors.py
@@ -1,7 +1,7 @@
-"""The verdict type and the exception tree.
+"""The verdict of a request and the exception classes.
 
-Invariant: an error says NO only if the request has not run and never will; MAYBE whenever that is
-not known; YES when it ran (in part or whole). Unknown is never NO.
+Invariant: an error has verdict NO only if the request has not run and never will, MAYBE whenever that is not known, and
+YES if it ran, in part or as a whole. An unknown outcome is never NO.
 """
 
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class OakrampError(Exception):
-    """Root of the tree. `status` is the HTTP status a caller sees, `code` the short name in JSON."""
+    """Base class of all errors. `status` is the HTTP status that a client gets, `code` the short name in JSON."""
 
     status = 500
     code = "internal"
@@ -30,13 +30,13 @@
         self.detail = detail
 
     def to_json(self):
-        """The error as callers and operators see it (docs/api.md)."""
+        """The error as clients and operators get it (docs/api.md)."""
         shown = {"error": self.code, "reason": self.reason, "verdict": self.verdict.value}
         return shown | ({"detail": self.detail} if self.detail is not None else {})
 
 
 class RequestRejectedError(OakrampError):
-    """Said before anything was done: never ran, never will."""
+    """The request was rejected before anything was done: it has not run and never will."""
 
     verdict = Verdict.NO
     status = 400
@@ -44,7 +44,7 @@
 
 
 class BadRequestError(RequestRejectedError):
-    """Wrong JSON, field, type or value; `detail` has a line for each fault."""
+    """Invalid JSON, field, type or value; `detail` has a line for each fault."""
 
     code = "badRequest"
 
@@ -71,28 +71,28 @@
 
 
 class MethodNotFoundError(NotFoundError):
-    """The peer, or its release, has no such method or command, which says nothing of what was asked for."""
+    """The peer, or its release, has no such method or command; this says nothing about the thing that was asked for."""
 
     status = 501
     code = "noMethod"
 
 
 class TurnExpiredError(RequestRejectedError):
-    """A covering quorum of stores is sure that the earlier turn is not kept."""
+    """A covering quorum of stores has confirmed that the earlier turn is not kept."""
 
     status = 410
     code = "gone"
 
 
 class ProgramEndedError(RequestRejectedError):
-    """The program has ended; it and its budget never start anew."""
+    """The program has ended; neither it nor its budget can be started again."""
 
     status = 410
     code = "ended"
 
 
 class ConflictError(RequestRejectedError):
-    """The id or key was used for another request."""
+    """The id or key was already used for a different request."""
 
     status = 409
     code = "conflict"
@@ -106,7 +106,7 @@
 
 
 class VersionConflictError(RequestRejectedError):
-    """A change built on an old version."""
+    """The change is based on an old version."""
 
     status = 409
     code = "lost"
@@ -120,77 +120,77 @@
 
 
 class PlanChangedError(RequestRejectedError):
-    """The plan replaced what a request was admitted under: it takes its place again under the new one."""
+    """A new plan replaced the one under which a request was admitted: the request is placed again under the new one."""
 
     status = 503
     code = "rebound"
 
 
 class BudgetExhaustedError(RequestRejectedError):
-    """The program has put out its budget; final for this turn id."""
+    """The program has used up its budget; final for this turn id."""
 
     status = 402
     code = "budgetEmpty"
 
 
 class OverloadedError(RequestRejectedError):
-    """It cannot be served in time; come back after `retry_after` seconds."""
+    """The request cannot be served in time; it may be retried after `retry_after` seconds."""
 
     status = 503
     code = "overloaded"
 
 
 class QuorumUnavailableError(RequestRejectedError):
-    """Too few members answered to say more; the request itself has not run."""
+    """Too few members answered to decide; the request itself has not run."""
 
     status = 503
     code = "cannotTell"
 
 
 class DeadlineExceededError(RequestRejectedError):
-    """The time left was used up before it was sent anywhere."""
+    """The time left was used up before the request was sent anywhere."""
 
     status = 504
     code = "timeSpent"
 
 
 class UnreachableError(RequestRejectedError):
-    """Nothing left for the other side."""
+    """Nothing was sent to the other side."""
 
     status = 502
     code = "unreachable"
 
 
 class PlatformUnavailableError(RequestRejectedError):
-    """The platform's list could not be read from here."""
+    """The platform's list could not be read from this node."""
 
     status = 502
     code = "platformAway"
 
 
 class NotShardLeaderError(RequestRejectedError):
-    """This node does not own the key; `detail` names the believed owner's address, if any."""
+    """This node does not lead the key's shard; `detail` is the address of the presumed leader, if any."""
 
     status = 503
     code = "notOwner"
 
 
 class StaleEpochError(RequestRejectedError):
-    """A higher epoch has been promised; the sender's belongs to the past."""
+    """A higher epoch has been promised; the sender's is stale."""
 
     status = 409
     code = "fenced"
 
 
 class OutcomeUnknownError(OakrampError):
-    """The request left and no answer came back."""
+    """The request was sent and no response came back."""
 
     status = 502
     code = "noAnswer"
 
 
 class IncompleteResponseError(OakrampError):
-    """A replica's stream was not whole; the request has run."""
+    """A replica's stream was incomplete; the request has run."""
 
     status = 502
     code = "broken"
@@ -198,7 +198,7 @@
 
 
 class SettingsError(OakrampError):
-    """Settings that cannot be used; `detail` is the list of faults."""
+    """The settings cannot be used; `detail` is the list of faults."""
 
     code = "env"
     verdict = Verdict.NO
@@ -211,7 +211,7 @@
 
 
 class StorageFullError(StorageError):
-    """The disk's share for the log is used up; nothing was done."""
+    """The disk space reserved for the log is used up; nothing was done."""
 
     code = "ringFull"
     verdict = Verdict.NO
@@ -219,7 +219,7 @@
 
 
 class StorageCorruptedError(StorageError):
-    """A record that had been synced cannot be read: the disk is not to be trusted."""
+    """A record that had been synced cannot be read: the disk is not reliable."""
 
     code = "ringDamaged"
 
@@ -230,10 +230,10 @@
         yield from _leaves(child_class)
 
 
-# Invariant: codes are unique, so that an error crosses the wire as its code and comes back as its class.
+# Invariant: codes are unique, so that an error is sent as its code and is restored as an instance of its class.
 ERROR_CLASSES = {error_class.code: error_class for error_class in _leaves(OakrampError)}
 
 
 def error_from_wire(code, reason, verdict, detail=None, retry_after=None):
-    """Builds the error a peer reported."""
+    """Builds the error that a peer reported."""
     return ERROR_CLASSES.get(code, OakrampError)(reason, Verdict(verdict), retry_after, detail)
--- a/packages/common/oakramp/common/settings.py
+++ b/packages/common/oakramp/common/settings.py
@@ -1,4 +1,4 @@
-"""The env of a daemon: a JSON settings file overlaid by flags, checked as a whole."""
+"""The settings of a daemon: a JSON file whose values flags override, checked as a whole."""
 
 import ipaddress
 import json
@@ -12,7 +12,7 @@
 
 
 def is_address(text):
-    """Whether this is IP:PORT."""
+    """Whether the text has the form IP:PORT."""
     host, separator, port = str(text).rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) < 65536:
         return False
@@ -24,7 +24,7 @@
 
 
 def split_address(text):
-    """(host, port) of a text IP:PORT."""
+    """Splits a text of the form IP:PORT into (host, port)."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -37,7 +37,7 @@
 
 
 def numbers(*names):
-    """An object that holds these numbers and no others, each of them optional."""
+    """A rule: an object with numbers under these names and no others, each of them optional."""
     return And(
         dict,
         lambda pairs: (
@@ -48,11 +48,11 @@
     )
 
 
-# Bounds in seconds that hold where the fleet runs. What each is for: how old a gate's routing table may be (calm, and
-# while the core is unsettled), how far it may go back, how long a leaving replica may get requests, how long a planned
-# stop may take, how long a repeated key finds the first answer, how soon traffic is served after a closing fault, how
-# soon a machine that came back counts, how long a usage window is and how late its report may be, for how long a
-# duty does not come back to a former holder, and so on.
+# Bounds in seconds of the deployment in which the fleet runs. They say how old a gateway's routing table may be (in
+# normal operation, and while the control nodes are unsettled), how far it may go back, how long a leaving replica may
+# get requests, how long a planned stop may take, how long a repeated key finds the first response, how soon traffic is
+# served after a fault that stops it, how soon a machine that came back counts, how long a usage window is and how late
+# its report may be, for how long a fenced task does not return to a former holder, and so on.
 BOUNDS = numbers(
     "routing_age_s",
     "routing_stretch_s",
@@ -76,11 +76,11 @@
     "thaw_s",
 )
 RESOURCES = numbers("memory_mb", "descriptors", "disk_mb", "link_mbps")
-# Whether tenants in mutual eviction are looked for (observe), and moved too (on). Gates count only if it is not off.
+# Whether tenants in mutual eviction are detected (observe), and also moved (on). Gateways count only if it is not off.
 EVICTION_MODES = ("off", "observe", "on")
-# Whether replicas are ordered from the platform, where that is among the fenced tasks.
+# Whether replicas are ordered from the platform, if that is one of the fenced tasks.
 REPLICA_ORDER_MODES = ("off", "on")
-# What the platform may leave to this fleet: reports of each window's usage, orders of replicas.
+# Tasks that the platform may delegate to this fleet: reports of the usage in each window, orders of replicas.
 PLATFORM_TASKS = ("usage", "replicaOrders")
 COMMON_SETTINGS = {
     "machine": NAME,
@@ -117,7 +117,7 @@
     Optional("platformLagS"): POSITIVE,
     Optional("operator"): ADDRESS,
 }
-# What has a flag of its own; the rest is told in the file only.
+# Settings with a command line flag; the others can be set in the file only.
 FLAGS = {
     "machine": str,
     "zone": str,
@@ -144,29 +144,31 @@
 
 
 def check_settings(rules, pairs):
-    """The settings themselves. Raises SettingsError with a line for each fault."""
+    """Returns the checked settings. Raises SettingsError with a line for each fault."""
     try:
         return check_fields(rules, pairs)
     except BadRequestError as error:
-        raise SettingsError("env cannot be used", detail=error.detail) from error
+        raise SettingsError("settings cannot be used", detail=error.detail) from error
 
 
 def read_settings(rules, file_path, flag_pairs):
-    """The settings of a JSON file under those of flags, checked. Raises SettingsError with a line for each fault."""
+    """Returns the settings of a JSON file, overridden by flags, and checks them. Raises SettingsError with a line for
+    each fault."""
     file_pairs = {}
     if file_path:
         try:
             with open(file_path, encoding="utf-8") as file:
                 file_pairs = json.load(file)
         except (OSError, ValueError) as error:
-            raise SettingsError("env cannot be read", detail=[f"{file_path}: {error}"]) from error
+            raise SettingsError("settings cannot be read", detail=[f"{file_path}: {error}"]) from error
         if not isinstance(file_pairs, dict):
-            raise SettingsError("env cannot be read", detail=[f"{file_path}: must be a JSON object"])
+            raise SettingsError("settings cannot be read", detail=[f"{file_path}: must be a JSON object"])
     return check_settings(rules, file_pairs | {key: value for key, value in flag_pairs.items() if value is not None})
 
 
 def settings_of_daemon(program, rules, description):
-    """The env of this program from its command line; ends with code 2 and a line for each fault."""
+    """Returns the settings that the command line names; for invalid ones prints a line for each fault and exits with
+    code 2."""
     import argparse  # not all programs read a command line
 
     parser = argparse.ArgumentParser(prog=program, description=description)
@@ -190,5 +192,5 @@
 
 
 def orders_replicas(env):
-    """Whether the number of replicas is ours to choose, and is to be chosen."""
+    """Whether the choice of the number of replicas is left to this fleet and is switched on."""
     return "replicaOrders" in (env.get("platformTasks") or ()) and env.get("replicaOrders") == "on"
--- a/packages/common/oakramp/common/wall_clock.py
+++ b/packages/common/oakramp/common/wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall time that a jump of one machine's clock does not move."""
+"""Wall time that is not affected by a jump of one machine's clock."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class SteadyWallClock:
-    """Monotonic time plus the usual distance from it to wall time.
+    """Monotonic time plus the usual offset of wall time from it.
 
-    The distance is the median of one sample a second over the last minute: a jump that is set right within half a
-    minute is never seen, and one that stays is followed after that time.
+    The offset is the median of one sample a second over the last minute: a jump that is corrected within half a minute
+    has no effect, and a lasting one is followed after that time.
     """
 
     def __init__(self, reactor: Any, wall: Callable[[], float], log: Any) -> None:
@@ -35,11 +35,11 @@
         self.sample()
 
     def start(self) -> None:
-        """Samples the clock from now on."""
+        """Starts sampling the clock."""
         self._repeater.start()
 
     def stop(self) -> None:
-        """Takes no further sample."""
+        """Stops sampling the clock."""
         self._repeater.stop()
 
     def sample(self) -> None:
@@ -55,47 +55,48 @@
         self.sample()
 
 
-class ClockVoices:
-    """What machines say of wall time, as the node has heard it that decides for them.
+class ReportedClocks:
+    """The wall clocks that machines have reported to this node, which decides on the time for all of them.
 
-    Invariant: `_voices` has, by machine, when it was last heard and the distance of its wall time to the monotonic time
-    here; of REPORTING_GATEWAYS machines at most.
+    Invariant: `_reports` holds, by machine, the time of its last report and the offset of its wall time from the
+    monotonic time of this node, for at most REPORTING_GATEWAYS machines.
     """
 
     def __init__(self) -> None:
-        self._voices: dict[str, tuple[float, float]] = {}
+        self._reports: dict[str, tuple[float, float]] = {}
 
-    def hear(self, machine: str, wall: float, now: float) -> None:
-        """This machine's wall time is `wall`, at monotonic time `now` here."""
-        if machine in self._voices or len(self._voices) < REPORTING_GATEWAYS:
-            self._voices[machine] = now, wall - now
+    def report(self, machine: str, wall: float, now: float) -> None:
+        """Records that this machine's wall time is `wall` at the monotonic time `now` of this node."""
+        if machine in self._reports or len(self._reports) < REPORTING_GATEWAYS:
+            self._reports[machine] = now, wall - now
 
     def time(self, now: float) -> float | None:
-        """The median wall time at monotonic time `now`; None while fewer than REPORTED_CLOCKS_MIN were heard lately."""
-        for machine in [machine for machine, (at, _) in self._voices.items() if now - at > REPORTED_CLOCK_AGE]:
-            del self._voices[machine]
-        if len(self._voices) < REPORTED_CLOCKS_MIN:
+        """The median wall time at monotonic time `now`; None while there are fewer than REPORTED_CLOCKS_MIN recent
+        reports."""
+        for machine in [machine for machine, (at, _) in self._reports.items() if now - at > REPORTED_CLOCK_AGE]:
+            del self._reports[machine]
+        if len(self._reports) < REPORTED_CLOCKS_MIN:
             return None
-        return now + median(offset for _, offset in self._voices.values())
+        return now + median(offset for _, offset in self._reports.values())
 
 
 class FleetClock:
     """A machine's own steady wall time, or the fleet's once the two differ by more than CLOCK_DIFFERENCE.
 
-    Invariant: `_offset` is the distance of the fleet's wall time to monotonic time as it was told at `_known_at`.
+    Invariant: `_offset` is the offset of the fleet's wall time from monotonic time as it was reported at `_known_at`.
     """
 
     def __init__(self, reactor: Any, own: SteadyWallClock) -> None:
         self._reactor, self._own = reactor, own
         self._offset, self._known_at = 0.0, float("-inf")
 
-    def hear(self, wall: float) -> None:
-        """The fleet's wall time is this now."""
+    def set_fleet_time(self, wall: float) -> None:
+        """Records that the fleet's wall time is now `wall`."""
         self._known_at = self._reactor.seconds()
         self._offset = wall - self._known_at
 
     def is_known(self) -> bool:
-        """Whether the fleet's wall time is known."""
+        """Whether the fleet's wall time was reported within FLEET_CLOCK_AGE."""
         return self._reactor.seconds() <= self._known_at + FLEET_CLOCK_AGE
 
     def now(self) -> float:
--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -24,7 +24,7 @@
 from oakramp.common.constants import USAGE_CLOCKS_SETTLE, USAGE_OWED_SHOWN, USAGE_WINDOWS_KEPT
 from oakramp.common.errors import BadRequestError
 from oakramp.common.validation import check_fields, seconds, whole
-from oakramp.common.wall_clock import ClockVoices
+from oakramp.common.wall_clock import ReportedClocks
 from oakramp.control.controllers import CONTROLLERS, Controller
 from oakramp.control.transaction import Transaction
 
@@ -59,9 +59,9 @@
     return int(row.split("/")[1])
 
 
-def clocks_in(marks: dict[str, Any]) -> ClockVoices:
+def clocks_in(marks: dict[str, Any]) -> ReportedClocks:
     """The wall clocks that were reported to this leader."""
-    clocks: ClockVoices = marks.setdefault(CLOCKS_KEY, ClockVoices())
+    clocks: ReportedClocks = marks.setdefault(CLOCKS_KEY, ReportedClocks())
     return clocks
 
 
@@ -82,7 +82,7 @@
     is_stable = context.age_of(key) >= USAGE_CLOCKS_SETTLE
     clocks = clocks_in(context.marks)
     if "time" in arguments:
-        clocks.hear(arguments["gateway"], arguments["time"], context.now)
+        clocks.report(arguments["gateway"], arguments["time"], context.now)
     answer = {"time": clocks.time(context.now) if is_stable else None, "settled": is_stable}
     head = transaction.get(key)
     if head is None:
--- a/packages/gateway/oakramp/gateway/usage_counter.py
+++ b/packages/gateway/oakramp/gateway/usage_counter.py
@@ -147,7 +147,7 @@
             self._rounds_since_report = USAGE_SILENCE  # report again next round: that reply may contain the time
         else:
             if reply.get("time") is not None:
-                self._fleet_clock.hear(reply["time"])
+                self._fleet_clock.set_fleet_time(reply["time"])
             self._stop_waiting_for_time()
 
     def _drop_closed_windows(self, first_open: int, reported: dict[str, dict[str, int]]) -> None:
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1728,7 +1728,7 @@
     CodeMutation(
         "a thawed holder waits for a renewal",
         "control/oakramp/control/fenced_task.py",
-        "if leader.lease_until < self._caller.freezes.thawed_at() + LEASE_HELD:",
+        "if leader.lease_until < self._caller.freezes.resumed_at() + LEASE_HELD:",
         "if False:",
         "test_fenced_tasks.Fences.test_a_thawed_holder_waits_for_a_lease_renewal",
     ),
