--- a/packages/control/oakramp/control/fenced_task.py
+++ b/packages/control/oakramp/control/fenced_task.py
@@ -195,7 +195,7 @@
             return "too little of the lease is left"
         if now < self._may_act_from(leader):
             return "a call of the previous holder may still be in transit"
-        if leader.lease_until < self._caller.freezes.thawed_at() + LEASE_HELD:
+        if leader.lease_until < self._caller.freezes.resumed_at() + LEASE_HELD:
             return "the lease was not renewed since this process was frozen"
         return None
 
@@ -246,7 +246,7 @@
 
     def _time_left(self) -> float:
         """Seconds to wait for the answer; grows with consecutive failures, because the platform may be slow."""
-        return min(FENCED_CALL_TIME_MOST, FENCED_CALL_TIME * 2 ** min(self._failures, 8))
+        return min(FENCED_CALL_TIME_MAX, FENCED_CALL_TIME * 2 ** min(self._failures, 8))
 
     async def _while_leading(self, leader: ShardLeader, awaited: Awaitable[int]) -> int:
         """Returns the awaited status; gives up as soon as the lease, which may be renewed meanwhile, has ended."""
--- a/packages/control/oakramp/control/membership_repair.py
+++ b/packages/control/oakramp/control/membership_repair.py
@@ -90,7 +90,7 @@
     def __init__(self, node, voter, leaders, self_forming=False, tolerated_losses=1):
         super().__init__(node, leaders, VOTING_CONFIG_KEY, VOTING_CONFIG_PAUSE)
         self._voter, self._self_forming = voter, self_forming
-        self._min_members = max(VOTING_CONFIG_LEAST, 2 * tolerated_losses + 1)
+        self._min_members = max(VOTING_CONFIG_MIN, 2 * tolerated_losses + 1)
         self._silent_since, self._new_since = {}, {}
         self._leaderless_since = None
         self.margin = QuorumMargin(node.reactor, node.log)
@@ -145,7 +145,7 @@
 
     def _waits_for_failovers(self):
         """Whether a repair should wait for failovers under way. Each would have to start over under the next version,
-        and wait for every lease that may be held under this one. After SHARDS_LED_PATIENCE the repair waits no
+        and wait for every lease that may be held under this one. After SHARDS_LED_WAIT the repair waits no
         longer."""
         now = self._node.reactor.seconds()
         if all(self._node.state_table.age(f"{SHARD_SOURCE}{shard}") < LEASE_EXPIRED for shard in range(SHARDS)):
@@ -176,7 +176,7 @@
 
     def _silent_for(self, seconds):
         """The members that have shown no sign of life for this long."""
-        last = self._node.reactor.seconds() - (seconds - CONDITION_AGE)
+        last = self._node.reactor.seconds() - (seconds - LIVENESS_AGE)
         return [node_id for node_id, since in self._silent_since.items() if since <= last]
 
     async def _repair(self, leader, voting_config):
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -337,7 +337,7 @@
         self._silent_since, self._watched_at, self._first_seen_at = {}, float("-inf"), None
         self._pruned_at = float("-inf")
         rejoin = (node.env.get("bounds") or {}).get("rejoin_s", REJOIN)
-        self._silence_limit_s = min(STORES_PATIENCE, max(2 * CONDITION_AGE, rejoin - STORES_JOIN_TIME))
+        self._silence_limit_s = min(STORES_REPLACE_AFTER, max(2 * LIVENESS_AGE, rejoin - STORES_JOIN_TIME))
         self._update_stores()
         node.state_table.watch(STORES_KEY, self._update_stores)
 
@@ -367,7 +367,7 @@
 
     def _is_lost(self, node_id):
         since = self._silent_since.get(node_id)
-        return since is not None and self._node.reactor.seconds() - since >= self._silence_limit_s - CONDITION_AGE
+        return since is not None and self._node.reactor.seconds() - since >= self._silence_limit_s - LIVENESS_AGE
 
     def _successor_of(self, node_id, row):
         """The store that came back in place of this one, without its disk: at the same address or, once this one is
@@ -407,7 +407,7 @@
 
     async def _form_first_membership(self, leader):
         """Creates the first membership: with as many stores as the tolerated losses require, or fewer if no more stores
-        have appeared for STORES_FIRST_WAIT."""
+        have appeared for STORES_BOOTSTRAP_WAIT."""
         live, wanted = self._node.members.live("store"), 2 * self._tolerated_losses + 1
         waited = (
             self._first_seen_at is not None
@@ -547,7 +547,7 @@
         return is_adopted
 
     async def _status(self, node_id, row, sent=None):
-        answer = json.loads(await self._node.net.call(row["peer"], "storeStatus", STORES_ASK, record=sent))
+        answer = json.loads(await self._node.net.call(row["peer"], "storeStatus", STORES_STATUS_TIME, record=sent))
         if answer["nodeId"] != node_id:
             raise StaleEpochError(f"{row['peer']} is now {answer['nodeId']}, not {node_id}")
         return answer
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -131,11 +131,11 @@
 
 
 def _check_shrink(transaction, members, changed):
-    """Only members that are not live may be removed without a replacement, and VOTING_CONFIG_LEAST members stay."""
+    """Only members that are not live may be removed without a replacement, and VOTING_CONFIG_MIN members stay."""
     if len(changed) >= len(members):
         return
-    if len(changed) < VOTING_CONFIG_LEAST:
-        raise RequestRejectedError(f"a roster may shrink to {VOTING_CONFIG_LEAST} members at least")
+    if len(changed) < VOTING_CONFIG_MIN:
+        raise RequestRejectedError(f"a roster may shrink to {VOTING_CONFIG_MIN} members at least")
     live = [node_id for node_id in members.keys() - changed if transaction.context.members.condition(node_id) == LIVE]
     if live:
         raise RequestRejectedError(
--- a/packages/gateway/oakramp/gateway/balancer.py
+++ b/packages/gateway/oakramp/gateway/balancer.py
@@ -84,8 +84,8 @@
 
 def _no_capacity_error(placement_request):
     if placement_request.admission_threshold is not None:
-        return OverloadedError("no replica has capacity for another program", retry_after=BEGIN_RETRY_AFTER)
-    return DeadlineExceededError("no replica had capacity before the deadline", retry_after=RETRY_AFTER_LEAST)
+        return OverloadedError("no replica has capacity for another program", retry_after=FIRST_TURN_RETRY_AFTER)
+    return DeadlineExceededError("no replica had capacity before the deadline", retry_after=RETRY_AFTER_MIN)
 
 
 class Balancer:
@@ -209,7 +209,7 @@
         replicas have clearly more free capacity."""
         affinity, lowest = placement_request.affinity, _lowest_utilization(with_capacity, utilization)
         last_replica = next((one for one in with_capacity if one.row["id"] == placement_request.last_replica_id), None)
-        if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + HOME_SLACK:
+        if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + LAST_REPLICA_SLACK:
             return last_replica
         hash_choice = max(hash_candidates, key=lambda one: self._preference(one, affinity))
         # A program's first request has no cached prompts, so it is placed by load.
@@ -257,12 +257,12 @@
             if one.row["id"] not in placement_request.excluded
         ]:
             raise OverloadedError(
-                f"no replica of {placement_request.service} is left to try", retry_after=RETRY_AFTER_LEAST
+                f"no replica of {placement_request.service} is left to try", retry_after=RETRY_AFTER_MIN
             )
         heap = self._waiting.setdefault(placement_request.service, [])
         if len(heap) >= BALANCER_QUEUE:
             self._refused[placement_request.service] += 1
-            raise OverloadedError("too many requests are waiting for a replica", retry_after=RETRY_AFTER_LEAST)
+            raise OverloadedError("too many requests are waiting for a replica", retry_after=RETRY_AFTER_MIN)
         waiter = defer.Deferred(lambda _: None)
         entry = (placement_request.rank, placement_request.deadline, next(self._order), placement_request, waiter)
         heapq.heappush(heap, entry)
--- a/packages/gateway/oakramp/gateway/load_balancer.py
+++ b/packages/gateway/oakramp/gateway/load_balancer.py
@@ -52,7 +52,7 @@
         """Whether it accepts another request. Near its capacity, a replica is shared evenly by the gates, so that no
         gate that came first keeps all of it."""
         contended = self.running >= CONTENDED_SHARE * self.capacity
-        max_in_flight = math.ceil(self.capacity / self.gate_count) if contended else GATE_REPLICA_IN_FLIGHT
+        max_in_flight = math.ceil(self.capacity / self.gate_count) if contended else GATEWAY_REPLICA_IN_FLIGHT
         return self.utilization() < 1 and self.in_flight < max_in_flight and now >= self.refused_until
 
 
@@ -188,7 +188,7 @@
         order = ranked(prefix_ids, placement_request.line_key) + [
             one for one in ranked(candidate_ids, placement_request.line_key) if one not in prefix_ids
         ]
-        below_bound = [by_id[one] for one in order if one in by_id and by_id[one].utilization() < WEIGHT_BOUND]
+        below_bound = [by_id[one] for one in order if one in by_id and by_id[one].utilization() < AFFINITY_WEIGHT_LIMIT]
         return (
             below_bound[0]
             if below_bound
--- a/packages/gateway/oakramp/gateway/outliers.py
+++ b/packages/gateway/oakramp/gateway/outliers.py
@@ -59,7 +59,7 @@
         return {name: len(times) for name, times in self.faults.items()}
 
     def late_threshold(self):
-        return max(LATE_LEAST, LATE_TIMES * (self.typical_latency or 0.0))
+        return max(LATE_MIN, LATE_FACTOR * (self.typical_latency or 0.0))
 
 
 class Outliers:
@@ -110,7 +110,7 @@
 
     def late_threshold(self, service):
         """Seconds after which a missing response head counts as late."""
-        return self._services[service].late_threshold() if service in self._services else LATE_LEAST
+        return self._services[service].late_threshold() if service in self._services else LATE_MIN
 
     def _stats_of(self, instance):
         return self._services.setdefault(instance.row["pool"], ServiceStats())
@@ -145,7 +145,7 @@
 
     def _publish_faults(self, now):
         counts = {name: count for stats in self._services.values() for name, count in stats.faults_to_publish().items()}
-        if counts == self._published["counts"] or now - self._published["at"] < OUTLIER_TELL:
+        if counts == self._published["counts"] or now - self._published["at"] < OUTLIER_REPORT_PAUSE:
             return
         self._published = {"at": now, "counts": counts}
         self._node.gossip_client.publish_item(FAULTS, json.dumps(counts).encode() if counts else None)
@@ -193,7 +193,7 @@
             return (
                 count >= OUTLIER_FAULTS
                 and count >= OUTLIER_RATE * expected_requests
-                and count > OUTLIER_FELLOWS * mean_of_others
+                and count > OUTLIER_MEAN_FACTOR * mean_of_others
             )
 
         found = sorted(
--- a/packages/gateway/oakramp/gateway/plain.py
+++ b/packages/gateway/oakramp/gateway/plain.py
@@ -77,7 +77,7 @@
             self._gate.background(self._owners.call_until_done(claim_key, command, arguments | more))
 
         # The owner counts from the arrival of the claim, so this deadline is the earlier of the two.
-        request.send_by = self._reactor.seconds() + CLAIM_LEAVE
+        request.send_by = self._reactor.seconds() + CLAIM_SEND_TIME
         try:
             claimed = await self._owners.call(claim_key, "claim", arguments, request.remaining(self._reactor.seconds()))
         except OutcomeUnknownError as error:
@@ -93,7 +93,7 @@
             if error.verdict is Verdict.NO:
                 send_later("free")
             raise
-        send_later("finish", answer=answer if len(pack_json(answer)) <= CLAIM_ANSWER_LIMIT else None)
+        send_later("finish", answer=answer if len(pack_json(answer)) <= CLAIM_RESPONSE_LIMIT else None)
         return {"answer": answer}
 
     async def _forward(self, request):
--- a/packages/gateway/oakramp/gateway/programs.py
+++ b/packages/gateway/oakramp/gateway/programs.py
@@ -56,15 +56,15 @@
     def reserved_share(self) -> float:
         """Share of the capacity that follow-up turns may need which is reserved for them: from 0, if programs have one
         turn each, to 1."""
-        return min(1.0, self._follow_up_share / FOLLOW_UP_MOST)
+        return min(1.0, self._follow_up_share / FOLLOW_UP_MAX)
 
     def admission_threshold(self, priority: int) -> float:
         """Share of a replica's slots below which it accepts new programs of this priority (0 is the most urgent)."""
         full_share = 1.0 + QUEUED_SHARE
-        return full_share - self.reserved_share * (full_share - BEGIN_SHARE * BEGIN_PRIORITY_STEP**priority)
+        return full_share - self.reserved_share * (full_share - FIRST_TURN_SHARE * FIRST_TURN_PRIORITY_FACTOR**priority)
 
     def max_wait_s(self, normal_wait_s: float, target_s: float) -> float:
         """Seconds for which a first turn waits for capacity. Where many turns follow, a program whose first turn waits
         long would be late in any case, so its caller is refused early."""
-        min_wait_s = min(normal_wait_s, BEGIN_PATIENCE_SHARE * target_s)
+        min_wait_s = min(normal_wait_s, FIRST_TURN_DEADLINE_SHARE * target_s)
         return normal_wait_s - self.reserved_share * (normal_wait_s - min_wait_s)
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -131,7 +131,7 @@
             proxied_request.finish_at,
             self._programs.admission_threshold(priority) if begins_program else None,
             self._programs.last_replica_id(proxied_request.request),
-            now + patience_s * PLACEMENT_PATIENCE,
+            now + patience_s * PLACEMENT_WAIT_SHARE,
         )
 
     def _choose_service(self, proxied_request):
@@ -323,7 +323,7 @@
         if not proxied_request.may_repeat or proxied_request.attempts + 1 >= proxied_request.route.max_attempts:
             return time_left
         return min(
-            time_left, max(STALLED_TIMES * self._balancer.outliers.late_threshold(service), STALLED_SHARE * time_left)
+            time_left, max(STALLED_FACTOR * self._balancer.outliers.late_threshold(service), STALLED_SHARE * time_left)
         )
 
     async def _drain(self, response):
--- a/packages/gateway/oakramp/gateway/replica_load.py
+++ b/packages/gateway/oakramp/gateway/replica_load.py
@@ -88,4 +88,4 @@
         self.reported_load, self.reported_slots = running + waiting, slots
         self.reported_at, self.in_flight_at_report = now, self.in_flight
         other_gateways = max(0, self.reported_load - self.in_flight_at_report)
-        self.service_load.add_sample(min(other_gateways, LOAD_TOLD_MOST * slots), now)
+        self.service_load.add_sample(min(other_gateways, LOAD_REPORT_MAX * slots), now)
--- a/packages/gateway/oakramp/gateway/request_losses.py
+++ b/packages/gateway/oakramp/gateway/request_losses.py
@@ -1,6 +1,6 @@
 """Logs requests that ended late, were refused, cut off or abandoned, and the time spent in each stage.
 
-One line at info level for each such request, at most LOSS_LINES a second; `oakrampctl losses` aggregates them. A
+One line at info level for each such request, at most LOSS_LOG_RATE a second; `oakrampctl losses` aggregates them. A
 request that is answered in time costs only a few entries in a dict.
 """
 
@@ -46,7 +46,7 @@
         now = self._reactor.seconds()
         if now - self._window_start >= 1.0:
             self._window_start, self._lines_in_window = now, 0
-        if self._lines_in_window >= LOSS_LINES:
+        if self._lines_in_window >= LOSS_LOG_RATE:
             self._left_out += 1
             return
         self._lines_in_window += 1
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -195,7 +195,7 @@
             raise line
         if line.is_full:
             # Refused before the run: afterwards the only answer left is that the turn ran and was not stored.
-            raise OverloadedError("the stores are full until old lines are removed", retry_after=FULL_RETRY)
+            raise OverloadedError("the stores are full until old lines are removed", retry_after=FULL_RETRY_AFTER)
         if body["turnId"] in line.turns:
             raise ConflictError("the line already has a turn with this id")
         fields["line"] = line
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -25,7 +25,7 @@
     CodeMutation(
         "a program keeps to the replica of its last turn",
         "gateway/oakramp/gateway/balancer.py",
-        'if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + HOME_SLACK:',
+        'if last_replica is not None and utilization[last_replica.row["id"]] <= lowest + LAST_REPLICA_SLACK:',
         "if False:",
         "test_balancer.LastReplica.test_it_is_kept_though_others_have_more_capacity",
     ),
@@ -207,7 +207,7 @@
     CodeMutation(
         "a claimed call leaves soon or never",
         "gateway/oakramp/gateway/plain.py",
-        "request.send_by = self._reactor.seconds() + CLAIM_LEAVE",
+        "request.send_by = self._reactor.seconds() + CLAIM_SEND_TIME",
         "pass",
         "test_faults.ReplicaFaults.test_keyed_call_that_waited_leaves_no_more",
     ),
--- a/packages/testbed/oakramp/testbed/rush.py
+++ b/packages/testbed/oakramp/testbed/rush.py
@@ -195,7 +195,7 @@
     now = site.reactor.seconds()
     request = ProxyRequest(program=program.name, previous_turn=f"{turn - 1}" if turn else None)
     begins = admits and gateway.programs.is_first_turn(request)
-    patience_s = TURN_TIME_S * PATIENCE_SHARE
+    patience_s = TURN_TIME_S * QUEUE_WAIT_SHARE
     if begins:
         patience_s = gateway.programs.max_wait_s(patience_s, TARGET_S)
     placement_request = PlacementRequest(
@@ -207,7 +207,7 @@
         finish_at=program.began_at + program.aim_s,
         admission_threshold=gateway.programs.admission_threshold(0) if begins else None,
         last_replica_id=gateway.programs.last_replica_id(request),
-        prefer_planned_until=now + patience_s * PLACEMENT_PATIENCE,
+        prefer_planned_until=now + patience_s * PLACEMENT_WAIT_SHARE,
     )
     if begins and gateway.programs.reserved_share >= 1.0:
         gateway.balancer.check_program_admission(placement_request)
