--- a/packages/common/oakramp/common/deferred_imports.py
+++ b/packages/common/oakramp/common/deferred_imports.py
@@ -1,7 +1,7 @@
-"""Modules of libraries whose code runs only once a name of theirs is asked for.
+"""Library modules whose code runs only when one of their names is first accessed.
 
-Libraries import them for uses that a daemon has none of, and all daemons start at once after a power loss. The standard
-library's `importlib.util.LazyLoader` is not enough for packages, as importing a submodule would run them.
+Libraries import them for purposes that a daemon does not have, and all daemons start at once after a power loss. The
+standard library's `importlib.util.LazyLoader` is not enough for packages, as importing a submodule would run them.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
     from importlib.machinery import ModuleSpec
     from typing import Any
 
-# Name of a module: the submodules that hold those of its names which are asked for in each start.
+# Name of a module: for those of its names that are accessed in each start, the submodule that defines the name.
 DEFERRED: dict[str, dict[str, str]] = {
-    # By twisted.internet.defer, for its bridge to another event loop; it brings TLS.
+    # Imported by twisted.internet.defer for its bridge to another event loop; imports TLS.
     "asyncio": {"AbstractEventLoop": "events", "Future": "futures", "iscoroutine": "coroutines"},
-    # By twisted.python.compat, as an old name of it; it brings HTTP and mail clients.
+    # Imported by twisted.python.compat for an old name; imports HTTP and mail clients.
     "http.cookiejar": {},
-    # By twisted.python.reflect, for one function.
+    # Imported by twisted.python.reflect for one function.
     "pickle": {},
-    # Their submodules for the binary protocol in memory are all that is used: no parser, JSON or sockets.
+    # Only their submodules for the binary protocol in memory are used: no parser, JSON or sockets.
     "thriftpy2": {},
     "thriftpy2.protocol": {},
     "thriftpy2.transport": {},
@@ -36,10 +36,10 @@
 
 
 class DeferredModule(ModuleType):
-    """A module that stands for itself until a name is asked for that it doesn't have yet."""
+    """A placeholder for a module until a name is accessed that it does not have yet."""
 
     def __getattr__(self, name: str) -> Any:
-        """A submodule, a name of one, or what the module's own code makes, which is run for that."""
+        """Returns a submodule, a name of one, or a name that the module's own code defines, which is run for that."""
         submodule = DEFERRED[self.__name__].get(name)
         if submodule is not None:
             return getattr(import_module(f"{self.__name__}.{submodule}"), name)
@@ -54,19 +54,20 @@
 
 
 class DeferringLoader:
-    """Makes a module whose code the given loader runs later.
+    """Creates a module whose code the given loader runs later.
 
-    It has the methods of importlib.abc.Loader, whose import would cost more than some of what is deferred here."""
+    It has the methods of importlib.abc.Loader but does not inherit from it: importing that would cost more than some of
+    the deferred modules."""
 
     def __init__(self, loader: Loader) -> None:
         self._loader = loader
 
     def create_module(self, spec: ModuleSpec) -> ModuleType | None:
-        """The import system's usual module."""
+        """Creates the module as the given loader does."""
         return self._loader.create_module(spec)
 
     def exec_module(self, module: ModuleType) -> None:
-        """Leaves the module's code for later."""
+        """Defers running the module's code."""
         module.__class__ = DeferredModule
 
     def run(self, module: ModuleType) -> None:
@@ -79,7 +80,7 @@
 
     @staticmethod
     def find_spec(name: str, path: Sequence[str] | None, target: ModuleType | None = None) -> ModuleSpec | None:
-        """The usual spec with a loader that defers the code; None for all other modules."""
+        """Returns the usual spec with a loader that defers the code; None for modules that are not in DEFERRED."""
         if name not in DEFERRED:
             return None
         spec = PathFinder.find_spec(name, path, target)
@@ -89,6 +90,6 @@
 
 
 def install() -> None:
-    """Defers these modules from now on, but for those that are imported already."""
+    """Defers the modules of DEFERRED from now on, except those that are already imported."""
     if DeferringFinder not in sys.meta_path:
         sys.meta_path.insert(0, DeferringFinder)
--- a/packages/common/oakramp/common/fenced_call.py
+++ b/packages/common/oakramp/common/fenced_call.py
@@ -1,4 +1,4 @@
-"""A call to the platform that one node of the fleet makes for all of it."""
+"""A call to the platform that one node makes on behalf of the whole fleet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FencedCall(NamedTuple):
-    """What is sent; `body` is a JSON value."""
+    """The request to send; `body` is a JSON value."""
 
     method: str
     path: str
@@ -14,16 +14,16 @@
 
 
 class CallFormat(Protocol):
-    """How fenced calls are written where this fleet runs."""
+    """The format of fenced calls in the deployment in which this fleet runs."""
 
     def fencing_headers(self, holder: str, fence: int) -> dict[str, str]:
-        """The headers that name the machine that acts, and its fencing token."""
+        """The headers that name the machine that makes the call, and its fencing token."""
 
     def usage_report(self, window: int, counts: dict[str, int]) -> FencedCall:
-        """The report of one window: how many requests of each tenant began in it."""
+        """The report of one window: how many requests of each tenant started in it."""
 
     def replica_order(self, service: str, zone: str, count: int) -> FencedCall:
-        """The order that so many replicas of a service run in a zone."""
+        """The order to run this number of replicas of a service in a zone."""
 
 
 class PlainCallFormat:
--- a/packages/common/oakramp/common/http_channel.py
+++ b/packages/common/oakramp/common/http_channel.py
@@ -1,4 +1,5 @@
-"""Connections of the JSON interface with twisted.web.http, imported by oakramp.common.http_server with the first one.
+"""Connections of the JSON interface with twisted.web.http, imported by oakramp.common.http_server when the first one is
+made.
 
 `twisted.web.server` is left out: its resources and sessions are not used here, and importing it would take an eighth
 of a daemon's start.
@@ -31,10 +32,10 @@
     _closing = None
 
     def gotLength(self, length: int | None) -> None:
-        """Called by twisted.web with the body's length, or None if it is not told beforehand."""
+        """Called by twisted.web with the body's length, or None if it is not known beforehand."""
         if length is not None and length > self.body_limit:
             self._refuse()
-        self.content = BytesIO()  # the limit bounds it, so it needs no file
+        self.content = BytesIO()  # the size is limited, so it needs no file
 
     def handleContentChunk(self, data: bytes) -> None:
         """Called by twisted.web with each part of the body."""
@@ -56,7 +57,7 @@
             self.channel.loseConnection()
 
     def process(self) -> None:
-        """Called by twisted.web once the whole request is here."""
+        """Called by twisted.web once the whole request has arrived."""
         self.setHeader(b"date", http.datetimeToString())
         self.postpath = [unquote_to_bytes(segment) for segment in self.path[1:].split(b"/")]
         self.server.handle(self)
@@ -66,14 +67,14 @@
         super().write(b"" if self.method == b"HEAD" else data)
 
     def connectionLost(self, reason: Failure) -> None:
-        """Called by twisted.web when the caller is gone."""
+        """Called by twisted.web when the client has disconnected."""
         if self._closing is not None and self._closing.active():
             self._closing.cancel()
         super().connectionLost(reason)
 
     def _refuse(self) -> None:
-        """What still comes is read and dropped for a while: closed with unread bytes, the connection would be reset,
-        and that may overtake the answer."""
+        """Rejects the request. Data that still arrives is read and dropped for LINGER_TIME: closing with unread bytes
+        would reset the connection, and the reset may overtake the response."""
         body = pack_json(TooLargeError(f"body is over {self.body_limit} bytes").to_json()) + b"\n"
         self.channel.transport.write(
             b"HTTP/1.1 413 Request Entity Too Large\r\nContent-Type: application/json\r\nConnection: close\r\n"
--- a/packages/common/oakramp/common/http_client.py
+++ b/packages/common/oakramp/common/http_client.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 requests with twisted.web, each on a connection of its own.
 
-A connection that is not shared keeps the verdict sharp: unless it was made, nothing has left.
+A connection that is not shared keeps the verdict exact: unless the connection was made, nothing was sent.
 """
 
 from __future__ import annotations
@@ -57,7 +57,8 @@
 
 @implementer(IAgentEndpointFactory)
 class _Endpoints:
-    """`lastCheck` runs once the connection stands, in the same turn in which the request is written."""
+    """`last_check` runs once the connection is established, in the same reactor turn in which the request is
+    written."""
 
     def __init__(self, reactor, bind_host, last_check=None, unacknowledged_s=None):
         self._reactor, self._bind_host, self._last_check = reactor, bind_host, last_check
@@ -90,10 +91,10 @@
 
 
 class BodyLines(protocol.Protocol):
-    """The body of an answer as lines, read by one task.
+    """The body of a response as lines, read by one task.
 
-    Invariants: `_lines` holds whole lines only, and the sender is paused while more than `most` wait;
-    `ended` is set once nothing more comes, however the body ended."""
+    Invariants: `_lines` holds complete lines only, and the sender is paused while more than `most` wait;
+    `ended` is set once nothing more arrives, however the body ended."""
 
     def __init__(self, line_limit, most=64):
         self._line_limit, self._most = line_limit, most
@@ -104,7 +105,7 @@
         self.whole = False
 
     def dataReceived(self, data: bytes) -> None:
-        """Splits what arrives into lines; reading pauses while too many wait."""
+        """Splits arriving data into lines; reading pauses while too many wait."""
         if self.ended:
             return
         *lines, self._rest = (self._rest + data).split(b"\n")
@@ -119,7 +120,7 @@
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         """Ends the body; it is complete only if its last line was."""
-        # A body cut off shows as another reason; a last line without its end does not count either way.
+        # A truncated body has another reason; a last line without its line feed is not counted in either case.
         self._end(bool(reason.check(ResponseDone)) and not self._rest)
 
     def _end(self, whole):
@@ -145,7 +146,7 @@
         return None
 
     def abort(self) -> None:
-        """Closes the connection, so that the other side learns that nobody listens any more."""
+        """Closes the connection, so that the other side learns that nobody reads any more."""
         self._end(False)
         transport = getattr(self.transport, "_producer", self.transport)
         closing = getattr(transport, "abortConnection", None) or getattr(transport, "loseConnection", None)
@@ -160,7 +161,7 @@
     def dataReceived(self, data: bytes) -> None:
         self._size += len(data)
         if self._size > self._limit and not self._outcome.called:
-            self._outcome.errback(TooLargeError(f"answer is over {self._limit} bytes", Verdict.MAYBE))
+            self._outcome.errback(TooLargeError(f"response is over {self._limit} bytes", Verdict.MAYBE))
         if not self._outcome.called:
             self._parts.append(data)
 
@@ -170,7 +171,7 @@
         if reason.check(ResponseDone):
             self._outcome.callback(b"".join(self._parts))
             return
-        self._outcome.errback(OutcomeUnknownError("the answer was cut off"))
+        self._outcome.errback(OutcomeUnknownError("the response was truncated"))
 
 
 class HttpClient:
@@ -194,10 +195,11 @@
     async def send(
         self, method, address, path, value, time_left, last_check=None, more_headers=None, unacknowledged_s=None
     ):
-        """The head of the answer. Verdict no only if no connection was made or `lastCheck` raised it.
+        """Returns the head of the response. An error has verdict NO only if no connection was made or `last_check`
+        raised it.
 
-        `more_headers` are texts by name, sent beside this client's own. With `lastCheck`, the kernel drops a connection
-        on which nothing is acknowledged for `unacknowledged_s` seconds.
+        `more_headers` are texts by name, sent in addition to this client's own. With `last_check`, the kernel drops a
+        connection on which nothing is acknowledged for `unacknowledged_s` seconds.
         """
         body = None if value is None else _Body(pack_json(value))
         headers = Headers({"content-type": ["application/json"], "connection": ["close"]})
@@ -215,7 +217,7 @@
         except OakrampError:
             raise
         except Exception as fault:
-            raise OutcomeUnknownError(f"{address} broke off: {fault!r}") from fault
+            raise OutcomeUnknownError(f"{address} failed during the request: {fault!r}") from fault
 
     async def data(
         self,
@@ -229,7 +231,7 @@
         more_headers=None,
         unacknowledged_s=None,
     ):
-        """(status, bytes) of a small answer."""
+        """Returns (status, bytes) of a small response."""
         ends_at = self._reactor.seconds() + time_left
         response = await self.send(method, address, path, value, time_left, last_check, more_headers, unacknowledged_s)
         outcome = defer.Deferred(lambda _: None)
@@ -238,15 +240,15 @@
             self._reactor,
             ends_at - self._reactor.seconds(),
             outcome,
-            OutcomeUnknownError(f"{address} did not finish its answer in time"),
+            OutcomeUnknownError(f"{address} did not finish its response in time"),
         )
 
     async def json(self, method, address, path, value, time_left, limit=BODY_LIMIT, last_check=None):
-        """(status, JSON object) of a small answer."""
+        """Returns (status, JSON object) of a small response."""
         status, data = await self.data(method, address, path, value, time_left, limit, last_check)
         try:
             return status, parse_json(data, limit, "answer")
         except BadRequestError as fault:
             raise IncompleteResponseError(
-                f"{address} answered with what is no JSON: {fault.reason}", Verdict.MAYBE
+                f"{address} sent a response that is not JSON: {fault.reason}", Verdict.MAYBE
             ) from fault
--- a/packages/common/oakramp/common/http_server.py
+++ b/packages/common/oakramp/common/http_server.py
@@ -11,7 +11,7 @@
 
 
 class HttpCall:
-    """One request as the handlers see it."""
+    """One request as it is passed to handlers."""
 
     def __init__(self, request, names):
         self.request, self.names = request, names
@@ -33,7 +33,7 @@
         return values[0].decode(errors="replace") if values else None
 
     def reply(self, status, value, retry_after=None):
-        """Answers with JSON, or with bytes as they are; `retry_after` is in seconds."""
+        """Responds with JSON, or with bytes as they are; `retry_after` is in seconds."""
         if self.is_gone:
             return
         body = value if isinstance(value, bytes) else pack_json(value) + b"\n"
@@ -46,15 +46,15 @@
         self.request.finish()
 
     def reply_error(self, error):
-        """Answers with an error as callers see it."""
+        """Responds with an error in the form that clients get."""
         self.reply(error.status, error.to_json(), error.retry_after)
 
 
 class _Connections(protocol.Factory):
-    """Connections to a server. What they are made of is imported with the first one: many daemons are never asked
-    anything by way of this interface, and the import would take a twentieth of their start.
+    """Connections to a server. Their implementation is imported with the first one: many daemons never get a request on
+    this interface, and the import would take a twentieth of their start.
 
-    Invariant: `_factory` is never started, as that sets up an access log that nobody reads, with a timer."""
+    Invariant: `_factory` is never started, as that would set up an unused access log, with a timer."""
 
     noisy = False
 
@@ -76,7 +76,7 @@
 
 class HttpServer:
     """Routes of one daemon. A handler is a coroutine function of an HttpCall; it returns (status, value),
-    or None if it has answered by itself. `running` counts what is being handled, for a graceful stop."""
+    or None if it has sent the response itself. `running` counts the requests being handled, for a graceful stop."""
 
     def __init__(self, reactor, address, log, limit, body_limit=BODY_LIMIT):
         self._reactor, self._address, self._log, self._limit = reactor, address, log, limit
@@ -88,20 +88,20 @@
         self._connections.noisy = False
 
     def route(self, method, path, handler):
-        """Enters a handler; a path segment in braces matches any text and is passed by its name."""
+        """Registers a handler; a path segment in braces matches any text and is passed under its name."""
         self._routes.append((method.encode(), path.strip("/").split("/"), handler))
 
     def listen(self):
-        """Starts to accept connections."""
+        """Starts accepting connections."""
         host, port = split_address(self._address)
         self._port = self._reactor.listenTCP(port, self._connections, interface=host)
 
     async def stop(self):
-        """Takes no new connection and cuts none off: returns once everything under way is answered, also what
-        was sent on a connection that was open already."""
+        """Stops accepting connections and breaks none: returns once all requests in progress are answered, including
+        those sent on a connection that was already open."""
         self.stopping = True
         if self._port is not None:
-            self._port.doRead()  # whoever waits to be accepted is let in; closing would reset them
+            self._port.doRead()  # accepts the pending connections, since closing the port would reset them
             await defer.maybeDeferred(self._port.stopListening)
         quiet_since = self._reactor.seconds()
         while self._reactor.seconds() - quiet_since < QUIET_TIME and self._connections.protocols:
@@ -116,7 +116,7 @@
         try:
             parts = [part.decode() for part in request.postpath]
         except UnicodeDecodeError as error:
-            raise BadRequestError("path is no UTF-8") from error
+            raise BadRequestError("path is not UTF-8") from error
         path_known = False
         for method, pattern, handler in self._routes:
             if len(pattern) != len(parts) or any(
@@ -128,11 +128,11 @@
                 names = {mask.strip("{}"): part for mask, part in zip(pattern, parts) if mask.startswith("{")}
                 return handler, names
         if path_known:
-            raise BadRequestError(f"{request.method.decode(errors='replace')} is not for this path")
+            raise BadRequestError(f"{request.method.decode(errors='replace')} is not allowed for this path")
         raise NotFoundError("no such path")
 
     def handle(self, request):
-        """Answers a request that has arrived."""
+        """Handles a request that has arrived."""
         spawn(self._run(request), self._log)
 
     async def _run(self, request):
@@ -143,7 +143,7 @@
         try:
             handler, call.names = self._find(request)
             if self.running > self._limit:
-                raise OverloadedError("too many requests are under way here", retry_after=1)
+                raise OverloadedError("too many requests are in progress on this node", retry_after=1)
             answer = await handler(call)
             if answer is not None:
                 call.reply(*answer)
--- a/packages/common/oakramp/common/log_rate_limit.py
+++ b/packages/common/oakramp/common/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""A bound on how often one kind of line is logged, for what clients can cause as often as they like."""
+"""A rate limit for one kind of log line, for events that clients can cause as often as they like."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class LogRateLimit:
-    """Lets one line pass each `pause_s` seconds.
+    """Allows one line in `pause_s` seconds.
 
-    Invariant: `_left_out` counts what came since the last line, which passed at `_passed_at` (monotonic seconds).
+    Invariant: `_left_out` counts the lines suppressed since the last one, which was allowed at `_passed_at` (monotonic
+    seconds).
     """
 
     def __init__(self, reactor: Any, pause_s: float) -> None:
@@ -18,7 +19,7 @@
         self._left_out = 0
 
     def take(self) -> int | None:
-        """How many lines were left out since the last one if one may be written now, else None."""
+        """If a line may be written now, returns how many were suppressed since the last one, else None."""
         now = self._reactor.seconds()
         if now - self._passed_at < self._pause_s:
             self._left_out += 1
--- a/packages/common/oakramp/common/metrics.py
+++ b/packages/common/oakramp/common/metrics.py
@@ -6,17 +6,17 @@
 class Metrics:
     """Counters and gauges by name and labels."""
 
-    # Invariant: counters only rise; gauges are asked when shown.
+    # Invariant: counters only rise; gauges are evaluated when they are shown.
     def __init__(self):
         self._counters = Counter()
         self._gauges = {}
 
     def count(self, name, by=1, **labels):
-        """Raises a counter."""
+        """Increments a counter."""
         self._counters[self._shown_name(name, labels)] += by
 
     def gauge(self, name, ask, **labels):
-        """Enters a gauge; `ask()` gives its value when it is shown."""
+        """Registers a gauge; `ask()` returns its value when it is shown."""
         self._gauges[self._shown_name(name, labels)] = ask
 
     def read(self, name, **labels):
@@ -29,13 +29,13 @@
         return f"oak_{name}{{{pairs}}}" if pairs else f"oak_{name}"
 
     def to_text(self):
-        """All of them, a line each, sorted by name."""
+        """Returns all metrics, one line each, sorted by name."""
         shown = [*self._counters.items(), *((name, ask()) for name, ask in self._gauges.items())]
         return "".join(f"{name} {value:g}\n" for name, value in sorted(shown))
 
 
 def serve_metrics(web, metrics):
-    """Shows the metrics at GET /metrics of this web."""
+    """Serves the metrics at GET /metrics of this HTTP server."""
 
     async def show(_call):
         return 200, metrics.to_text().encode()
--- a/packages/common/oakramp/common/rate_limiter.py
+++ b/packages/common/oakramp/common/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Evenly spaced turns, so many a second at most."""
+"""Limits a rate by evenly spaced turns."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RateLimiter:
-    """Gives turns in the order in which they are asked for, each `1 / rate` seconds after the one before at least."""
+    """Grants turns in the order of the requests, each at least `1 / rate` seconds after the one before."""
 
     def __init__(self, reactor: Any, rate: float) -> None:
         self._reactor = reactor
--- a/packages/common/oakramp/common/reactor.py
+++ b/packages/common/oakramp/common/reactor.py
@@ -1,5 +1,5 @@
-"""Twisted's epoll reactor without what nobody here reads: a log context of its own for each socket that has something
-to say, five calls deep. A node that is nearly idle does little else than wake up for one frame after another."""
+"""Twisted's epoll reactor without a log context for each socket event, which is not used here and costs five nested
+calls. A node that is nearly idle does little else than wake up for one frame after another."""
 
 import sys
 from select import EPOLLIN
@@ -10,14 +10,14 @@
 
 
 class LeanReactor(EPollReactor):
-    """What is only readable is read here; all else goes Twisted's way."""
+    """Handles events that are only readable itself; all others are left to Twisted."""
 
     def doPoll(self, timeout):
         """One round of the reactor: waits at most `timeout` seconds for events, and handles them."""
         for descriptor, event in self._poller.poll(-1 if timeout is None else timeout, len(self._selectables)):
             selectable = self._selectables.get(descriptor)
             if selectable is None:
-                continue  # an earlier one closed it
+                continue  # closed by the handling of an earlier event
             if event != EPOLLIN:
                 log.callWithLogger(selectable, self._doReadOrWrite, selectable, descriptor, event)
                 continue
@@ -33,6 +33,6 @@
 
 
 def install():
-    """Makes it the process's reactor, unless there is one already."""
+    """Installs LeanReactor as the process's reactor, unless there is one already."""
     if "twisted.internet.reactor" not in sys.modules:
         installReactor(LeanReactor())
--- a/packages/common/oakramp/common/structured_logging.py
+++ b/packages/common/oakramp/common/structured_logging.py
@@ -34,7 +34,7 @@
 
 
 class EventLogger:
-    """Writes events of one node; `sink` is any callable taking the finished EventLine."""
+    """Writes events of one node; `sink` is any callable that takes the finished EventRecord."""
 
     def __init__(self, sink, **fixed_pairs):
         self._sink = sink
@@ -60,12 +60,12 @@
         self._sink(EventRecord.of(level, event, self._fixed_pairs | fields))
 
     def bound(self, **more_pairs):
-        """A log with these pairs in each of its lines."""
+        """Returns a logger that adds these pairs to each line."""
         return EventLogger(self._sink, **(self._fixed_pairs | more_pairs))
 
 
 def _time_of(record):
-    """Wall time of a record in UTC with milliseconds; it is only shown and decides nothing."""
+    """Wall time of a record in UTC with milliseconds; it is only displayed, no decision depends on it."""
     return datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
 
 
@@ -73,7 +73,7 @@
     """`time=... event=... key=value`, at most LOG_LINE_LIMIT characters."""
 
     def format(self, record):
-        """One line; what is cut off is counted at its end."""
+        """Returns one line; a truncated one ends with the number of characters cut."""
         line = f"time={_time_of(record)} {record.msg}"
         if len(line) <= LOG_LINE_LIMIT:
             return line
@@ -81,10 +81,10 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object for each event; values longer than the limit are cut."""
+    """One JSON object for each event; values are truncated if the line is longer than LOG_LINE_LIMIT."""
 
     def format(self, record):
-        """One line of JSON with `time`, `level` and the event's pairs."""
+        """Returns one line of JSON with `time`, `level` and the event's pairs."""
         pairs = getattr(record.msg, "pairs", {"message": str(record.msg)})
         fields = {"time": _time_of(record), "level": record.levelname.lower()}
         line = json.dumps(fields | pairs, default=str)
@@ -123,7 +123,7 @@
 
 
 def skip_unused_record_fields():
-    """Keeps `logging` from collecting for each record what no formatter here shows: the caller, thread and process."""
+    """Keeps `logging` from collecting fields that no formatter here shows: the calling code, thread and process."""
     logging._srcfile = None
     logging.logThreads = False
     logging.logProcesses = False
--- a/packages/common/oakramp/common/tcp_options.py
+++ b/packages/common/oakramp/common/tcp_options.py
@@ -1,4 +1,4 @@
-"""Options of TCP connections by which a peer that has gone without a word is noticed."""
+"""TCP options that detect a peer which is gone without having closed the connection."""
 
 import socket
 from typing import Any
@@ -12,8 +12,8 @@
     """Sends without delay, and ends the connection once the peer has acknowledged nothing for PEER_SILENCE seconds.
 
     Args:
-        transport: a connection's transport; one that is no TCP connection of the kernel's is left as it is.
-        probes: whether the peer is probed while nothing is sent, too.
+        transport: a connection's transport; one that is not a TCP connection of the kernel is left as it is.
+        probes: whether the peer is also probed while nothing is sent.
     """
     if not isinstance(transport, tcp.Connection):
         return
@@ -33,13 +33,13 @@
         try:
             handle.setsockopt(*option)
         except OSError:
-            pass  # the connection works without; a peer that has gone is told by what is read and written
+            pass  # the connection works without the option; reads and writes still detect a peer that is gone
 
 
 def limit_unacknowledged(transport: Any, seconds: float) -> None:
-    """Has the kernel drop the connection, and all it would still send, once nothing is acknowledged for so long.
+    """Makes the kernel drop the connection, with all unsent data, once nothing is acknowledged for this many seconds.
 
-    The kernel does so even while the process is frozen. A transport that is no TCP connection of the kernel's is left
+    The kernel does so even while the process is frozen. A transport that is not a TCP connection of the kernel is left
     as it is.
     """
     if isinstance(transport, tcp.Connection):
--- a/packages/common/oakramp/common/validation.py
+++ b/packages/common/oakramp/common/validation.py
@@ -1,4 +1,4 @@
-"""Checking of JSON that comes from outside."""
+"""Validation of JSON from outside the process."""
 
 import json
 
@@ -42,13 +42,14 @@
 
 
 def parse_json(data, limit, what="body"):
-    """The JSON object in `data`. Raises TooLargeError over `limit` bytes, BadRequestError if it is none."""
+    """Returns the JSON object in `data`. Raises TooLargeError if it is over `limit` bytes, BadRequestError if it is not
+    a JSON object."""
     if len(data) > limit:
         raise TooLargeError(f"{what} is over {limit} bytes")
     try:
         parsed = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise BadRequestError(f"{what} is no JSON: {error}") from error
+        raise BadRequestError(f"{what} is not JSON: {error}") from error
     if not isinstance(parsed, dict):
         raise BadRequestError(f"{what} must be a JSON object")
     return parsed
@@ -59,7 +60,7 @@
 
 
 def _is_fine(rule, value):
-    """Whether the value keeps the rule, as far as that can be told without building a schema around it."""
+    """Whether the value satisfies the rule, as far as that can be checked without building a schema for it."""
     if type(rule) is type:
         return isinstance(value, rule)
     try:
@@ -69,7 +70,7 @@
 
 
 def faults_of(rules, pairs, path=""):
-    """One line with its path for every fault, of fields that are unknown, missing or wrong."""
+    """Returns one line with the path for every field that is unknown, missing or invalid."""
     if not isinstance(pairs, dict):
         return [f"{path or 'body'}: must be an object"]
     prefix = f"{path}." if path else ""
@@ -88,14 +89,14 @@
 
 
 def check_fields(rules, pairs):
-    """The pairs, with None for optional fields left out; or a BadRequestError naming every fault."""
+    """Returns the fields, with None for absent optional ones. Raises BadRequestError that names every fault."""
     faults = faults_of(rules, pairs)
     if faults:
         raise BadRequestError("; ".join(faults), detail=faults)
     return {_name_of(key): pairs.get(_name_of(key)) for key in rules}
 
 
-_ENCODER = json.JSONEncoder(separators=(",", ":"), sort_keys=True)  # json.dumps makes one for each value
+_ENCODER = json.JSONEncoder(separators=(",", ":"), sort_keys=True)  # json.dumps creates an encoder for each value
 
 
 def pack_json(value):
