--- a/packages/http_proxy/oakramp/http_proxy/downstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/downstream.py
@@ -1,4 +1,4 @@
-"""One caller's connection: requests read from it one at a time, strictly, and kept waiting no longer than they may."""
+"""One client's connection: requests are read from it one at a time, with strict parsing and time limits."""
 
 import re
 
@@ -24,10 +24,10 @@
 
 
 class DownstreamConnection(protocol.Protocol):
-    """One caller's connection. Invariants: `exchange` is the request being answered, `_reading` the one whose body
-    is being read; never both. Once `_closing`, nothing more is read as a request.
+    """One client's connection. Invariants: `exchange` is the request being answered, `_reading` the one whose body is
+    being read; at most one of them is set. Once `_closing` is set, nothing more is read as a request.
 
-    One timer serves all waits: `_due` says when the present one is over, and a timer that fires early is set anew."""
+    One timer serves all waits: `_due` is when the current one is over, and a timer that fires earlier is restarted."""
 
     def __init__(self, front):
         self.front = front
@@ -38,7 +38,7 @@
         self._left = self._size = 0
         self._limits = None
         self._due = self._timer = None
-        self._arrived_at = 0.0  # when the newest bytes came: a pipelined request has waited since then
+        self._arrived_at = 0.0  # when the newest bytes arrived: a pipelined request has waited since then
         self._advancing = self._closing = self._paused = False
         self._last = False
         self._writers = []
@@ -53,7 +53,7 @@
 
     def connectionLost(self, reason=protocol.connectionDone):
         self._closing = True
-        self.front.callers.pop(self, None)
+        self.front.clients.pop(self, None)
         self._drop_body()
         if self._timer is not None:
             self._timer.cancel()
@@ -75,7 +75,7 @@
         self._wake_writers()
 
     def stopProducing(self):
-        """The transport is lost, and says so by itself."""
+        """Does nothing: the loss of the transport is reported by `connectionLost`."""
 
     def writable(self):
         waiting = defer.Deferred()
@@ -111,9 +111,9 @@
             return
         self._due = None
         if self._closing or self.exchange is not None:
-            self.transport.abortConnection()  # it does not take what it is sent
+            self.transport.abortConnection()  # the client does not read its response
             return
-        read_now(self.transport)  # what came while this process was busy or frozen came in time
+        read_now(self.transport)  # data that came while this process was busy or frozen was in time
         if self._due is not None or self._closing or self.exchange is not None:
             return
         if self._reading is not None or self._buffer:
@@ -154,12 +154,12 @@
             self._advancing = False
 
     def _read_head(self):
-        """Whether a whole head was taken from the buffer."""
+        """Reads a head from the buffer. Returns whether it was complete."""
         if self._limits is None:
             self._limits = self.front.limits()
             self._head_due = self.front.reactor.seconds() + self._limits.header_s
         buffer, limit = self._buffer, self._limits.header_bytes
-        if buffer.startswith(b"\r\n"):  # empty lines before a request are no fault
+        if buffer.startswith(b"\r\n"):  # empty lines before a request are allowed
             self._buffer = buffer = buffer[_EMPTY_LINES.match(buffer).end() :]
             self._scanned = 0
             if not buffer:
@@ -183,14 +183,14 @@
         line = _REQUEST_LINE.match(head)
         if line is None:
             raise MalformedMessageError("the request line")
-        fields, own = parse_fields(head[line.end() :])
-        length = body_length(own)
+        fields, hop_by_hop = parse_fields(head[line.end() :])
+        length = body_length(hop_by_hop)
         hosts = [value for name, value in fields if name.lower() == b"host"]
         host = _HOST.fullmatch(hosts[0]) if len(hosts) == 1 else None
         if host is None:
-            raise MalformedMessageError("not exactly one proper Host")
+            raise MalformedMessageError("not exactly one valid Host")
         exchange = Exchange(self, line[1].decode("ascii"), line[2], host[1].decode("latin-1").lower(), fields)
-        self._last = b"close" in own.get(b"connection", ())
+        self._last = b"close" in hop_by_hop.get(b"connection", ())
         if length is not None and length > self._limits.body_bytes:
             self._refuse(413)
             return
@@ -207,7 +207,7 @@
         self._reading, self._parts, self._size = exchange, [], 0
         self._left, self._decoder = length, ChunkedDecoder(TRAILER_LIMIT) if length is None else None
         data, self._buffer = self._buffer, b""
-        if not data and b"100-continue" in [value.lower() for value in own.get(b"expect", ())]:
+        if not data and b"100-continue" in [value.lower() for value in hop_by_hop.get(b"expect", ())]:
             send_now(self.transport, b"HTTP/1.1 100 Continue\r\n\r\n")
         self._take_body(data)
 
@@ -252,7 +252,7 @@
         self.front.begin(exchange)
 
     def persistence(self):
-        """What the answer's head says of the connection."""
+        """Returns the header line of the response that says whether the connection is kept."""
         self._last = self._last or self.front.stopping and not self._buffer
         if self._last:
             return b"Connection: close\r\n"
@@ -274,13 +274,13 @@
             self.transport.resumeProducing()
 
     def cut_off(self):
-        """What was written still leaves, but the answer stays without its end."""
+        """Closes the connection after sending what was written, so that the response stays incomplete."""
         exchange, self.exchange = self.exchange, None
         self._close(linger=False)
         exchange.lost()
 
     def _refuse(self, status):
-        """An answer of the protocol itself, to what did not become a request; nothing after it is read."""
+        """Responds to input that did not become a request; nothing after it is read."""
         self.front.refused[status] = self.front.refused.get(status, 0) + 1
         self._drop_body()
         if not self._closing:
@@ -292,8 +292,8 @@
             self._close(linger=True)
 
     def _close(self, linger):
-        """With `linger` the caller's rest is read and dropped for a while: closing with unread bytes would reset the
-        connection and could take the answer with it."""
+        """Closes the connection. With `linger` further data of the client is read and dropped for LINGER_TIME: closing
+        with unread bytes would reset the connection, and the client could lose the response."""
         self._closing = True
         self._buffer = b""
         self.transport.unregisterProducer()
@@ -311,7 +311,7 @@
         return self.exchange is None and self._reading is None and not self._buffer and not self._closing
 
     def close_idle(self):
-        """Closes a connection between two requests, unless one has just come."""
+        """Closes a connection between two requests, unless one has just arrived."""
         if not self.is_idle:
             return
         read_now(self.transport)
--- a/packages/http_proxy/oakramp/http_proxy/exchange.py
+++ b/packages/http_proxy/oakramp/http_proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller, read whole, and the answer to it."""
+"""One complete request of a client, and the response to it."""
 
 from twisted.internet import defer
 
@@ -10,8 +10,8 @@
 
 
 class Exchange(WithHeaders):
-    """One request, read whole, and its answer. Invariant: an answer looks complete only after `finish`; what is
-    written after the caller has gone is dropped."""
+    """One complete request, and its response. Invariant: a response looks complete only after `finish`; data written
+    after the client has disconnected is dropped."""
 
     __slots__ = (
         "method",
@@ -23,7 +23,7 @@
         "is_gone",
         "begun",
         "finished",
-        "_caller",
+        "_client",
         "_gone",
         "_head",
         "_left",
@@ -32,9 +32,9 @@
         "_flushing",
     )
 
-    def __init__(self, caller, method, target, host, headers):
+    def __init__(self, client, method, target, host, headers):
         super().__init__(headers)
-        self._caller = caller
+        self._client = client
         self.method, self.target, self.host = method, target, host
         self.path = target.partition(b"?")[0].decode("ascii")
         self.body, self.received_at = b"", None
@@ -44,7 +44,7 @@
 
     @property
     def gone(self):
-        """Fires when the caller's connection is lost or closed before the answer is finished."""
+        """Fires when the client's connection is lost or closed before the response is finished."""
         if self._gone is None:
             self._gone = defer.Deferred()
             if self.is_gone:
@@ -53,14 +53,14 @@
 
     @property
     def is_full(self):
-        """Whether more is waiting for the caller than its connection takes."""
-        return self._caller.full and not self.is_gone
+        """Whether more data is waiting for the client than the buffer of its connection takes."""
+        return self._client.full and not self.is_gone
 
     def start(self, status, headers, length):
-        """The head of the answer; with `length` None the body is chunked. It leaves with the first bytes of the
-        body if they come in the same turn."""
+        """Starts the response; with `length` None the body is chunked. The head is sent together with the first bytes
+        of the body if they are written in the same reactor turn."""
         if self.begun:
-            raise RuntimeError("the answer has begun already")
+            raise RuntimeError("the response was started already")
         fields = [field for field in headers if field[0].lower() not in HOP_BY_HOP]
         self._silent = self.method == "HEAD" or status in _BODILESS
         self._left = length
@@ -72,10 +72,10 @@
             if length is not None and status != 204
             else b""
         )
-        self._head = join_head(status_line(status), fields, framing + self._caller.persistence())
+        self._head = join_head(status_line(status), fields, framing + self._client.persistence())
         self.begun = True
         if not self.is_gone:
-            self._flushing = self._caller.front.reactor.callLater(0, self._flush)
+            self._flushing = self._client.front.reactor.callLater(0, self._flush)
 
     def write(self, data):
         if data and not self.is_gone:
@@ -87,28 +87,28 @@
         framed = self._framed(data)
         if self._left and not self._silent:
             self.abort()
-            raise RuntimeError("the answer is shorter than was told")
+            raise RuntimeError("the response is shorter than its declared length")
         self._send(framed + b"0\r\n\r\n" if self._chunked else framed)
         self.finished = True
-        self._caller.answered()
+        self._client.answered()
 
     def abort(self):
-        """Closes the connection, so that the answer cannot look complete."""
+        """Closes the connection, so that the response cannot look complete."""
         if not self.finished and not self.is_gone:
-            self._caller.cut_off()
+            self._client.cut_off()
 
     def reply(self, status, headers, body):
         self.start(status, headers, len(body))
         self.finish(body)
 
     async def wait_writable(self):
-        """Returns once the caller has taken most of what was written, or has gone."""
+        """Returns once the client has taken most of the written data, or has disconnected."""
         while self.is_full:
-            await self._caller.writable()
+            await self._client.writable()
 
     def _framed(self, data):
         if not self.begun or self.finished:
-            raise RuntimeError("the answer is not open")
+            raise RuntimeError("the response is not open")
         if self._silent or not data:
             return b""
         if self._chunked:
@@ -116,7 +116,7 @@
         self._left -= len(data)
         if self._left < 0:
             self.abort()
-            raise RuntimeError("the answer is longer than was told")
+            raise RuntimeError("the response is longer than its declared length")
         return data
 
     def _send(self, data):
@@ -125,7 +125,7 @@
             if self._flushing.active():
                 self._flushing.cancel()
         if data:
-            send_now(self._caller.transport, data)
+            send_now(self._client.transport, data)
 
     def _flush(self):
         if self._head is not None and not self.is_gone:
--- a/packages/http_proxy/oakramp/http_proxy/framing.py
+++ b/packages/http_proxy/oakramp/http_proxy/framing.py
@@ -1,9 +1,9 @@
-"""How HTTP/1.1 messages are framed: header blocks and chunked bodies, for callers and replicas alike.
+"""Framing of HTTP/1.1 messages: header blocks and chunked bodies, for clients and replicas alike.
 
-twisted.web.http's own helpers (`_parseRequestLine`, `_ChunkedTransferDecoder`) read the same grammar byte by byte in
-Python. A gate has one slow core, so the grammar is held in compiled patterns here; the tests hold the decoder
-against Twisted's. Everything is strict: what two readers could take in two ways is refused, for a request that ends
-elsewhere than the replica thinks is one that nobody sent.
+twisted.web.http's own helpers (`_parseRequestLine`, `_ChunkedTransferDecoder`) read the same grammar byte by
+byte in Python. A gateway has one slow core, so the grammar is in compiled patterns here; the tests compare the decoder
+with Twisted's. Parsing is strict: a message that two parsers could read differently is rejected, since a request whose
+end the replica sees elsewhere results in a request that no client sent (request smuggling).
 """
 
 import re
@@ -16,7 +16,7 @@
 _CHUNK = re.compile(rb"([0-9a-fA-F]{1,15})(?:;[\t\x20-\x7e\x80-\xff]*)?\r\n")
 BARE_LINE_FEED = re.compile(rb"(?<!\r)\n")
 
-# Fields that concern one connection only, and those that tell how a body is framed on it.
+# Fields that concern one connection only, and those that define the framing of a body on it.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -37,7 +37,7 @@
 
 
 class MalformedMessageError(ValueError):
-    """Bytes that are no HTTP/1.1, or that could be read in two ways."""
+    """The bytes are not HTTP/1.1, or could be read in two ways."""
 
 
 def status_line(status):
@@ -49,29 +49,30 @@
 
 
 def parse_fields(block):
-    """(end-to-end fields as they came, the values of the others by lower-case name) of lines that each end in CR LF."""
+    """Parses lines that each end in CR LF. Returns the end-to-end fields as they came, and the values of the
+    hop-by-hop ones by lower-case name."""
     found = _FIELD.findall(block)
     if len(found) != block.count(b"\n"):
         raise MalformedMessageError("a header line is malformed")
-    fields, own = [], {}
+    fields, hop_by_hop = [], {}
     for name, value in found:
         lowered = name.lower()
         if lowered in HOP_BY_HOP:
-            own.setdefault(lowered, []).append(value.strip(b" \t"))
+            hop_by_hop.setdefault(lowered, []).append(value.strip(b" \t"))
         else:
             fields.append((name, value.rstrip(b" \t")))
-    if b"connection" in own:
-        named = {token.strip(b" \t").lower() for value in own[b"connection"] for token in value.split(b",")}
-        own[b"connection"] = named
+    if b"connection" in hop_by_hop:
+        named = {token.strip(b" \t").lower() for value in hop_by_hop[b"connection"] for token in value.split(b",")}
+        hop_by_hop[b"connection"] = named
         named = named - {b"close", b"keep-alive", b"host", b""}
         if named:
             fields = [field for field in fields if field[0].lower() not in named]
-    return fields, own
+    return fields, hop_by_hop
 
 
-def body_length(own):
-    """The length told, None if chunked, or -1 if neither is told."""
-    lengths, codings = own.get(b"content-length"), own.get(b"transfer-encoding")
+def body_length(hop_by_hop):
+    """Returns the length that the header states, None if the body is chunked, or -1 if neither is stated."""
+    lengths, codings = hop_by_hop.get(b"content-length"), hop_by_hop.get(b"transfer-encoding")
     if codings is not None:
         if lengths is not None:
             raise MalformedMessageError("both a length and a transfer coding")
@@ -86,7 +87,8 @@
 
 
 def join_head(first_line, fields, last):
-    """A header block; a value with a line break in it would be another header, or another message."""
+    """Returns a header block. Raises MalformedMessageError for a line break in a value, which would start another
+    header or another message."""
     head = b"%b%b%b\r\n" % (first_line, b"".join([b"%b: %b\r\n" % field for field in fields]), last)
     lines = len(fields) + last.count(b"\n") + 2
     if head.count(b"\n") != lines or head.count(b"\r") != lines:
@@ -95,7 +97,7 @@
 
 
 class ChunkedDecoder:
-    """Invariant: `rest` is what has not been taken yet; once `done`, it is what came after the body."""
+    """Invariant: `rest` holds the bytes that are not decoded yet; once `done`, those that follow the body."""
 
     __slots__ = ("rest", "done", "_left", "_state", "_trailers", "_trailer_limit")
     SIZE, DATA, DATA_END, TRAILER = range(4)
@@ -105,7 +107,7 @@
         self._left, self._state, self._trailers, self._trailer_limit = 0, self.SIZE, 0, trailer_limit
 
     def feed(self, data):
-        """The pieces of the body in `data`."""
+        """Returns the pieces of the body in `data`."""
         if self.rest:
             data = self.rest + data
         at, size, state, pieces = 0, len(data), self._state, []
--- a/packages/http_proxy/oakramp/http_proxy/headers.py
+++ b/packages/http_proxy/oakramp/http_proxy/headers.py
@@ -1,8 +1,8 @@
-"""Headers of a message, looked up by name."""
+"""Lookup of a message's headers by name."""
 
 
 class WithHeaders:
-    """A message with `headers`, a list of (name, value) as bytes, which does not change once a header was looked up."""
+    """A message with `headers`, a list of (name, value) as bytes, which must not change after the first lookup."""
 
     __slots__ = ("headers", "_index")
 
@@ -10,7 +10,7 @@
         self.headers, self._index = headers, None
 
     def header(self, name):
-        """The value of a header, or None; of one that came several times, the values joined by commas."""
+        """Returns the value of a header, or None; for a repeated header, its values joined by commas."""
         if self._index is None:
             self._index = self._indexed()
         value = self._index.get(name.lower().encode("latin-1"))
--- a/packages/http_proxy/oakramp/http_proxy/listener.py
+++ b/packages/http_proxy/oakramp/http_proxy/listener.py
@@ -1,9 +1,9 @@
-"""Callers' side: whole requests read, answers written as they come.
+"""Connections from clients: complete requests are read, responses written as they arrive.
 
-twisted.web's HTTPChannel and Request parse cookies and forms, keep bodies in files, accept more than one reading of a
-length, and cost a gate's slow core several times what the work needs. So this is a protocol of its own over the
-strict grammar in framing.py. One request at a time is read from a connection; the next one waits in its buffer until
-the answer is out.
+twisted.web's HTTPChannel and Request parse cookies and forms, keep bodies in files, accept ambiguous lengths, and cost
+a gateway's slow core several times what the work needs. So this is a protocol of its own over the strict grammar in
+framing.py. One request at a time is read from a connection; the next one waits in its buffer until the response is
+sent.
 """
 
 from twisted.internet import defer, protocol
@@ -25,12 +25,12 @@
 
 
 class Listener:
-    """The listening side of a gate. Invariants: `callers` holds every open connection, those idle longest before the
-    others that are idle; `body_bytes` counts the bodies being read and those of requests under way.
+    """The listening side of a gateway. Invariants: `clients` holds every open connection, of the idle ones those that
+    have been idle longest first; `body_bytes` counts the bodies being read and those of requests in progress.
 
-    `handler(exchange)` is a coroutine function that answers; `limits()` gives header_bytes, body_bytes, header_s and
-    idle_s as they are now; above `bound` requests at a time `refuse(exchange)` answers, and
-    `on_crash(exchange, error)` where the handler failed before it began an answer."""
+    `handler(exchange)` is a coroutine function that responds; `limits()` returns the current header_bytes, body_bytes,
+    header_s and idle_s; above `bound` requests at a time `refuse(exchange)` responds instead, and
+    `on_crash(exchange, error)` if the handler failed before it started a response."""
 
     def __init__(
         self,
@@ -43,13 +43,13 @@
         refuse=None,
         on_crash=None,
         bodies_limit=BODIES_LIMIT,
-        callers_limit=CLIENTS_LIMIT,
+        clients_limit=CLIENTS_LIMIT,
     ):
         self.reactor, self.address, self.handler, self.limits, self.log = reactor, address, handler, limits, log
-        self.bound, self.bodies_limit, self.callers_limit = bound, bodies_limit, callers_limit
+        self.bound, self.bodies_limit, self.clients_limit = bound, bodies_limit, clients_limit
         self._refuse = refuse or (lambda exchange: exchange.reply(503, [(b"Retry-After", b"1")], b""))
         self._on_crash = on_crash or (lambda exchange, error: exchange.reply(500, [], b""))
-        self.callers = {}
+        self.clients = {}
         self.refused = {}
         self.running = 0
         self.body_bytes = 0
@@ -60,21 +60,21 @@
         host, port = split_address(self.address)
         self._port = self.reactor.listenTCP(port, _ConnectionFactory(self), backlog=1024, interface=host)
 
-    def admit(self, caller):
-        """Above the limit of connections the one that has been idle longest makes room, or the new one goes."""
-        self.callers[caller] = None
-        if len(self.callers) > self.callers_limit:
-            self.log.info("connection_limit_reached", connections=len(self.callers))
-            idlest = next(one for one in self.callers if one.is_idle)  # the new one is idle too
-            if idlest is caller:
-                caller.transport.abortConnection()
+    def admit(self, client):
+        """Adds a connection. Above the limit the one that has been idle longest is closed, or else the new one."""
+        self.clients[client] = None
+        if len(self.clients) > self.clients_limit:
+            self.log.info("connection_limit_reached", connections=len(self.clients))
+            idle_longest = next(one for one in self.clients if one.is_idle)  # the new connection is idle too
+            if idle_longest is client:
+                client.transport.abortConnection()
                 return
-            idlest.close_idle()
+            idle_longest.close_idle()
 
-    def touch(self, caller):
-        """Keeps callers in the order in which they became idle."""
-        del self.callers[caller]
-        self.callers[caller] = None
+    def touch(self, client):
+        """Keeps connections in the order in which they became idle."""
+        del self.clients[client]
+        self.clients[client] = None
 
     def begin(self, exchange):
         if self.running >= self.bound:
@@ -91,7 +91,7 @@
         try:
             await self.handler(exchange)
             if not exchange.finished and not exchange.is_gone:
-                raise RuntimeError("the handler gave no whole answer")
+                raise RuntimeError("the handler sent no complete response")
         except Exception as error:
             self._crashed(exchange, error)
         finally:
@@ -112,22 +112,22 @@
             exchange.abort()
 
     async def stop(self, grace_s):
-        """Returns once every request under way is answered or the grace is over. Whoever waits to be accepted is let
-        in; a kept connection is closed once it has been quiet for a while."""
+        """Stops accepting connections. Returns once every request in progress is answered or `grace_s` is over. Pending
+        connections are accepted first; a kept connection is closed once it has been quiet for QUIET_TIME."""
         self.stopping = True
         ends_at = self.reactor.seconds() + grace_s
         if self._port is not None:
             known = -1
-            while known < len(self.callers):  # closing would reset those who wait to be accepted
-                known = len(self.callers)
+            while known < len(self.clients):  # closing the port would reset pending connections
+                known = len(self.clients)
                 self._port.doRead()
             await defer.maybeDeferred(self._port.stopListening)
             self._port = None
         quiet_since = self.reactor.seconds()
-        while (self.callers or self.running) and self.reactor.seconds() < ends_at:
+        while (self.clients or self.running) and self.reactor.seconds() < ends_at:
             if self.reactor.seconds() - quiet_since >= QUIET_TIME:
-                for caller in [caller for caller in self.callers if caller.is_idle]:
-                    caller.close_idle()
+                for client in [client for client in self.clients if client.is_idle]:
+                    client.close_idle()
             await sleep(self.reactor, QUIET_TIME / 10)
-        for caller in list(self.callers):
-            caller.transport.abortConnection()
+        for client in list(self.clients):
+            client.transport.abortConnection()
--- a/packages/http_proxy/oakramp/http_proxy/response.py
+++ b/packages/http_proxy/oakramp/http_proxy/response.py
@@ -1,4 +1,4 @@
-"""A replica's answer, read by whoever asked as it comes."""
+"""A replica's response, which the requester reads while it arrives."""
 
 from twisted.internet import defer
 
@@ -6,14 +6,14 @@
 from oakramp.common.errors import IncompleteResponseError, OutcomeUnknownError, TooLargeError, Verdict
 from oakramp.http_proxy.headers import WithHeaders
 
-WHOLE = object()  # the outcome of an answer that came to its end
+COMPLETE = object()  # the outcome of a response that arrived completely
 
 
 class Response(WithHeaders):
-    """The head of an answer, and its body as it comes. Whoever got it reads it to its end or aborts it.
+    """The head of a response, and its body as it arrives. The requester reads it to its end or aborts it.
 
-    Invariants: pieces come in order, all that arrived before the end is given out before the end is told; `_outcome`
-    is None until the end, then WHOLE or the error."""
+    Invariants: pieces are returned in order, and all that arrived before the end is returned before the end is
+    reported; `_outcome` is None until the end, then COMPLETE or the error."""
 
     __slots__ = (
         "status",
@@ -34,24 +34,24 @@
 
     @property
     def is_ready(self):
-        """Whether `next` would give something at once."""
+        """Whether `next` would return or raise at once."""
         return bool(self._pieces) or self._outcome is not None
 
     @property
     def has_ended(self):
-        """Whether nothing more comes from the replica."""
+        """Whether nothing more arrives from the replica."""
         return self._outcome is not None
 
     @property
     def is_spent(self):
-        """Whether the answer has ended whole, and all of it was given out."""
-        return self._outcome is WHOLE and not self._pieces
+        """Whether the response arrived completely, and all of it was returned by `next`."""
+        return self._outcome is COMPLETE and not self._pieces
 
     async def next(self, time_left=None):
-        """What has arrived of the body, waiting for some; None once it ended whole. A wait longer than `time_left`
-        raises OutcomeUnknownError and leaves the answer as it is."""
+        """Returns the part of the body that has arrived, waiting for some; None after the complete body. A wait longer
+        than `time_left` raises OutcomeUnknownError and leaves the response as it is."""
         ends_at = None if time_left is None else self._connection.now() + time_left if self._outcome is None else 0.0
-        # What arrives may be framing only, which wakes but brings nothing.
+        # Arriving data may be framing only, which ends the wait without a piece.
         while not self._pieces and self._outcome is None:
             waiting = self._waiting = defer.Deferred()
             if ends_at is None:
@@ -64,37 +64,37 @@
                 if timer.active():
                     timer.cancel()
             if not self._pieces and self._outcome is None and self._connection.now() >= ends_at:
-                raise OutcomeUnknownError("the answer stopped coming")
+                raise OutcomeUnknownError("the response stopped arriving")
         if self._pieces:
             pieces, self._pieces, self._size = self._pieces, [], 0
             if self._paused and self._connection is not None:
                 self._paused = False
                 self._connection.transport.resumeProducing()
             return pieces[0] if len(pieces) == 1 else b"".join(pieces)
-        if self._outcome is WHOLE:
+        if self._outcome is COMPLETE:
             return None
         raise self._outcome
 
     async def read(self, limit):
-        """The whole body, if it is not over `limit`."""
+        """Returns the whole body. Raises TooLargeError if it is over `limit` bytes."""
         parts, size = [], 0
         while (piece := await self.next()) is not None:
             size += len(piece)
             if size > limit:
                 self.abort()
-                raise TooLargeError(f"the answer is over {limit} bytes", Verdict.MAYBE)
+                raise TooLargeError(f"the response is over {limit} bytes", Verdict.MAYBE)
             parts.append(piece)
         return b"".join(parts)
 
     def abort(self):
-        """Closes the connection unless the answer has ended, so that the replica drops the request."""
+        """Closes the connection unless the response has ended, so that the replica drops the request."""
         if self._outcome is None:
             connection = self._connection
-            self.end(IncompleteResponseError("the answer was given up", Verdict.MAYBE))
+            self.end(IncompleteResponseError("the response was given up", Verdict.MAYBE))
             connection.drop()
 
     def put(self, pieces):
-        """Keeps pieces for `next`; whoever waits is woken by `wake` or `end`."""
+        """Stores pieces for `next`; a waiting `next` is resumed by `wake` or `end`."""
         self._pieces += pieces
         self._size += sum(map(len, pieces))
         if self._size > RESPONSE_BUFFER_LIMIT and not self._paused:
@@ -102,7 +102,8 @@
             self._connection.transport.pauseProducing()
 
     def end(self, outcome):
-        """Nothing more comes. What was held back on the connection is read on by whoever has it next."""
+        """Records that nothing more arrives. If reading was paused, it is resumed for the next user of the
+        connection."""
         if self._outcome is not None:
             return
         connection, self._connection = self._connection, None
--- a/packages/http_proxy/oakramp/http_proxy/sockets.py
+++ b/packages/http_proxy/oakramp/http_proxy/sockets.py
@@ -1,8 +1,8 @@
-"""What a connection needs of its kernel, where there is one.
+"""Direct socket operations on a transport, for transports that have a kernel socket.
 
-`send_now` hands bytes to the kernel in the same turn. Twisted would register the socket for writing, wait, write and
-take the registration back: four system calls where one does, for every event of a stream. What the kernel does not
-take at once goes Twisted's way, with its buffer and its back-pressure.
+`send_now` passes bytes to the kernel in the same reactor turn. Twisted would register the socket for writing, wait,
+write and remove the registration: four system calls where one is enough, for every event of a stream. Bytes that the
+kernel does not take at once are left to Twisted, with its buffer and its back-pressure.
 """
 
 import socket
@@ -11,7 +11,7 @@
 
 
 def is_quiet(transport):
-    """Whether nothing waits to be read, not even the peer's end, as far as the kernel knows."""
+    """Whether nothing is waiting to be read, not even the end of the stream, as far as the kernel knows."""
     if not isinstance(transport, tcp.Connection):
         return True
     try:
@@ -24,7 +24,7 @@
 
 
 def read_now(transport):
-    """Takes what waits to be read, in this turn."""
+    """Reads the waiting data in this reactor turn."""
     if isinstance(transport, tcp.Connection) and transport.connected and not transport.disconnecting:
         transport.doRead()
 
@@ -34,7 +34,8 @@
 
 
 def send_now(transport, data):
-    """False only if the kernel refused the connection and surely took nothing of `data`."""
+    """Sends `data`. Returns False only if the kernel reported the connection as failed and certainly took none of
+    it."""
     if (
         not isinstance(transport, tcp.Connection)
         or transport.dataBuffer
@@ -46,7 +47,7 @@
         return True
     sent = transport.writeSomeData(data)
     if isinstance(sent, Exception):
-        transport.write(data)  # it fails again, and the connection's loss is told as any other
+        transport.write(data)  # it fails again, and the loss of the connection is reported as usual
         return False
     if sent < len(data):
         transport.write(data[sent:])
--- a/packages/http_proxy/oakramp/http_proxy/upstream.py
+++ b/packages/http_proxy/oakramp/http_proxy/upstream.py
@@ -1,8 +1,9 @@
-"""Replicas' side: kept connections, one request at a time on each, and a sharp verdict.
+"""Connections to replicas: kept alive, one request at a time on each, with an exact verdict on failures.
 
-twisted.web's HTTP11ClientProtocol cannot tell whether a byte has left, writes the request some turns after the
-connection stands, takes bytes on an idle connection for a fault of the next request and copies every header into
-objects; each of these the relay must hold or save. So this is a protocol of its own over the grammar in framing.py.
+twisted.web's HTTP11ClientProtocol cannot tell whether a byte was sent, writes the request some reactor turns after the
+connection is established, treats bytes on an idle connection as a fault of the next request and copies every header
+into objects. The proxy needs the former guarantees and cannot afford the latter cost, so it has a protocol of its own
+over the grammar in framing.py.
 """
 
 import re
@@ -21,8 +22,8 @@
 
 
 class Upstreams:
-    """All connections to replicas. Invariants: `_open` holds every connection that stands or is being made, by
-    address; `_idle` those of them that may be used again, the most recently used last."""
+    """All connections to replicas. Invariants: `_open` holds every connection that is established or being made,
+    by address; `_idle` those of them that may be used again, the most recently used last."""
 
     def __init__(self, reactor, bind_host, log):
         self.reactor, self._bind_host, self._log = reactor, bind_host, log
@@ -42,8 +43,9 @@
         expect=None,
         max_connections=None,
     ):
-        """The head of the answer. `headers()` gives the fields as they are when the first byte leaves, `last_check`
-        runs in that turn, and may raise; `expect` is a (name, value) that the answer must bear."""
+        """Returns the head of the response. `headers()` returns the fields as of the time when the first byte is sent;
+        `last_check` runs in the same reactor turn and may raise; `expect` is a (name, value) header that the response
+        must have."""
         ends_at = self.reactor.seconds() + time_left
         data = _request_bytes(address, method, target, headers(), body)
         while True:
@@ -69,7 +71,7 @@
                 raise
             break
         self.reused += is_reused
-        timer = self.reactor.callLater(ends_at - self.reactor.seconds(), connection.drop, "no answer in time")
+        timer = self.reactor.callLater(ends_at - self.reactor.seconds(), connection.drop, "no response in time")
         try:
             return await waiting
         finally:
@@ -80,7 +82,7 @@
         return len(self._open.get(address, ()))
 
     def close_instance(self, instance_id):
-        """The replica has left: its idle connections are closed, the others once their answer has ended."""
+        """Closes the idle connections of a replica that has left, and the others once their response has ended."""
         for connection in [
             connection for ones in self._open.values() for connection in ones if connection.instance_id == instance_id
         ]:
@@ -116,7 +118,7 @@
             and self.open_count(address) >= max_connections
             and not self._close_other(address)
         ):
-            raise OverloadedError(f"{address} has as many connections from here as it may have")
+            raise OverloadedError(f"{address} has as many connections from this gateway as allowed")
         host, port = split_address(address)
         connection = ReplicaConnection(self, address, instance_id)
 
@@ -177,7 +179,7 @@
         fields.append((b"Host", address.encode("ascii")))
     verb = method.encode("latin-1", "replace")
     if not _METHOD.fullmatch(verb) or not _TARGET.fullmatch(target):
-        raise BadRequestError("a method or target that cannot be sent")
+        raise BadRequestError("the method or target cannot be sent")
     length = b"Content-Length: %d\r\n" % len(body) if body or method in ("POST", "PUT", "PATCH") else b""
     try:
         return join_head(b"%b %b HTTP/1.1\r\n" % (verb, target), fields, length) + body
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -406,7 +406,7 @@
     CodeMutation(
         "what cannot be passed on whole is cut off",
         "http_proxy/oakramp/http_proxy/exchange.py",
-        "            self._caller.cut_off()",
+        "            self._client.cut_off()",
         "            self._send(b'0\\r\\n\\r\\n')",
         "test_relay_worlds.Worlds.test_seeds",
     ),
