--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -202,15 +202,15 @@
         self._log_findings(service, outcome)
         if outcome.rows != previous or (row and row["mode"] != self.mode):
             await leader.do(PLACEMENT_KEY, "set", {"service": service, "mode": self.mode, "tenants": outcome.rows})
-            self.counts.update(moved=len(outcome.moved), let_go=len(outcome.let_go))
+            self.counts.update(moved=len(outcome.moved), let_go=len(outcome.released))
             self._node.log.info(
                 "eviction_plan_changed",
                 service=service,
                 mode=self.mode,
                 tenants=len(outcome.rows),
                 moved=len(outcome.moved),
-                let_go=len(outcome.let_go),
-                first=",".join((outcome.moved or outcome.let_go)[:TENANTS_NAMED]),
+                let_go=len(outcome.released),
+                first=",".join((outcome.moved or outcome.released)[:TENANTS_NAMED]),
             )
 
     def _log_findings(self, service, outcome):
--- a/packages/prefix_cache/oakramp/prefix_cache/counters.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/counters.py
@@ -1,7 +1,8 @@
-"""What a gate counts of one service's requests, from their prefixes and times alone: nothing is probed.
+"""A gateway's counts of one service's requests, taken from their prefixes and times alone, without probes.
 
-A tenant is whoever's prompts begin with the same part. Invented ids cost a bounded table, in which the least asked
-gives way first, and end up in `rest`, so that their tokens still count as pressure on the cache.
+Requests whose prompts begin with the same part belong to one tenant. The table is bounded in case a client invents ids:
+the least requested tenant is evicted first, and counted in `rest`, so that its tokens still count as pressure on the
+cache.
 """
 
 from dataclasses import dataclass
@@ -19,7 +20,7 @@
 
 
 def tenant_of(prefix):
-    """The tenant of a prompt with this prefix of (id, tokens), or None if it has none."""
+    """Returns the tenant of a prompt with this prefix of (id, tokens), or None if the prefix is empty."""
     if not prefix:
         return None
     name = prefix[0][0]
@@ -27,7 +28,7 @@
 
 
 def _short(name):
-    """A part in a report; two that fall together only make a tenant seem to share more than it does."""
+    """Returns the short id of a part in a report; a collision only makes a tenant seem to share more than it does."""
     return blake2b(name.encode(), digest_size=4).hexdigest()
 
 
@@ -42,7 +43,7 @@
 
 class _Tenant:
     """Invariant: `parts` holds at most TENANT_PARTS parts. `fresh` counts the tokens of last parts, which are a
-    request's own: what comes before is read anew only if it was evicted."""
+    request's own: the parts before are read anew only if they were evicted."""
 
     __slots__ = ("requests", "late", "tokens", "fresh", "parts")
 
@@ -62,8 +63,9 @@
     def counts(self):
         return self.requests, self.late, self.tokens, self.fresh
 
-    def told(self):
-        """[requests, late ones, tokens, fresh tokens, [[part, tokens, uses, its only program or ""], most used first]]."""
+    def report(self):
+        """[requests, late ones, tokens, fresh tokens, [[part, tokens, uses, its only program or ""], most used
+        first]]."""
         used = sorted(self.parts.items(), key=lambda pair: -pair[1].uses)[:TENANT_PARTS_REPORTED]
         return [
             *self.counts(),
@@ -75,25 +77,25 @@
 
 
 class TenantCounters:
-    """Invariant: what was counted since the last `take` is in `_tenants` or in `_rest`, each request once."""
+    """Invariant: each request counted since the last `take` is either in `_tenants` or in `_rest`."""
 
     def __init__(self):
         self._clear()
 
     def _clear(self):
-        self._tenants = _Table(TENANTS_COUNTED, self._give_up)
+        self._tenants = _Table(TENANTS_COUNTED, self._move_to_rest)
         self._rest = [0, 0, 0, 0]
         self.requests = self.late = 0
 
-    def _give_up(self, tenant):
+    def _move_to_rest(self, tenant):
         self._add_to_rest(*tenant.counts())
 
     def _add_to_rest(self, *counts):
         self._rest = [sum(pair) for pair in zip(self._rest, counts)]
 
     def note(self, prefix, program, is_late, most_tokens):
-        """One request whose first event came; no part counts for more than the cache's `most_tokens`. Requests with no
-        program count as programs of their own."""
+        """Counts one request whose first event has arrived; a part counts for at most the cache's `most_tokens`. A
+        request without a program counts as a program of its own."""
         name = tenant_of(prefix)
         self.requests += 1
         self.late += is_late
@@ -112,13 +114,14 @@
         tenant.note(prefix, program or f"request {self.requests}", most_tokens)
 
     def take(self):
-        """What was counted since the last take: {"tenants": {tenant: [..]}, "rest": [requests, late, tokens, fresh]}."""
+        """Returns the counts since the last call: {"tenants": {tenant: [..]}, "rest": [requests, late, tokens,
+        fresh]}."""
         ranked = sorted(self._tenants.items(), key=lambda pair: (-pair[1].tokens, pair[0]))
         for _, tenant in ranked[TENANTS_REPORTED:]:
-            self._give_up(tenant)
-        told = {"tenants": {name: tenant.told() for name, tenant in ranked[:TENANTS_REPORTED]}, "rest": self._rest}
+            self._move_to_rest(tenant)
+        report = {"tenants": {name: tenant.report() for name, tenant in ranked[:TENANTS_REPORTED]}, "rest": self._rest}
         self._clear()
-        return told
+        return report
 
 
 class _Table(LFUCache):
--- a/packages/prefix_cache/oakramp/prefix_cache/decision.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/decision.py
@@ -1,4 +1,4 @@
-"""One service's round at who decides: from the gates' reports and the plan in force to the next plan."""
+"""One round of the deciding node for one service: from the gateways' reports and the current plan to the next plan."""
 
 from dataclasses import dataclass, field
 
@@ -13,19 +13,19 @@
     findings: dict
     rows: dict
     moved: list = field(default_factory=list)
-    let_go: list = field(default_factory=list)
+    released: list = field(default_factory=list)
     without_room: list = field(default_factory=list)
 
 
 class Decision:
-    """Invariant: nothing but rounds in a row is kept here; the plan in force is handed in, so that who takes the duty
-    over goes on from it."""
+    """Invariant: only counts of consecutive rounds are kept here; the current plan is passed in, so that a node that
+    takes over the task continues from it."""
 
     def __init__(self):
         self._detector = Detector()
 
     def next(self, loads, flow, cache_tokens, replicas, previous):
-        """The Outcome of this round. `previous` are the rows in force, `replicas` the ids that are ready."""
+        """Returns the Outcome of this round. `previous` are the current rows, `replicas` the ids that are ready."""
         if not replicas:
             return Outcome({}, previous)
         findings = findings_of(loads, flow, cache_tokens, len(replicas))
@@ -33,7 +33,8 @@
         held = {name: row["replicas"] for name, row in previous.items() if name not in over}
         plan, without_room = plan_of(loads, held.keys() | new, replicas, cache_tokens, held)
         if not is_worth(loads, flow, cache_tokens, replicas, plan):
-            # What others send may have made it worthless for now; who is moved stays, since to and fro costs most.
+            # The other tenants' load may make the plan useless for now; moved tenants stay, as moving back and forth
+            # costs most.
             plan = {name: stay for name, ids in held.items() if (stay := [one for one in ids if one in replicas])}
             without_room = sorted(new)
         rows = {
--- a/packages/prefix_cache/oakramp/prefix_cache/detector.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/detector.py
@@ -1,11 +1,12 @@
-"""Which tenants are trapped in mutual eviction: the owner's side, from all gates' reports.
-
-A tenant is evicted if a good share of its prompt tokens is read again because others evicted them. It is trapped if
-besides the evicted ones' answers, all together, are late: a slow tenant asks too seldom to tell by itself, and in a
-trap there are many. The first is what tells a trap apart: after a cold start or a replaced replica the sets fit, a long
-prompt is read once by nature, an overloaded service is late without evictions, and a tenant whose own working set is
-larger than the cache evicts itself; in none of these would moving help. Once somebody is trapped, all who are evicted
-are moved: they evict each other, and one left behind goes on doing so.
+"""Detects the tenants that are trapped in mutual eviction, at the shard leader, from all gateways' reports.
+
+A tenant is evicted if a large share of its prompt tokens is read again because other tenants evicted them. It is
+trapped if also the responses of all evicted tenants taken together are late: a slow tenant sends too few requests for a
+judgement of its own, and in a trap there are many such tenants. The first condition distinguishes a trap from other
+causes: after a cold start or a replaced replica the working sets fit, a long prompt is always read once, an overloaded
+service is late without evictions, and a tenant whose own working set is larger than the cache evicts itself; in none of
+these cases would moving help. Once a tenant is trapped, all evicted ones are moved: they evict each other, and one left
+behind would go on doing so.
 """
 
 from collections import deque
@@ -43,8 +44,8 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """What is thought of one tenant, and why. Shares of its prompt tokens: `evicted` read again because of others,
-    `alone` read again if it had the replicas to itself."""
+    """The judgement on one tenant, with its reasons. Shares of its prompt tokens: `evicted` are read again because of
+    other tenants, `alone` would be read again if it had the replicas to itself."""
 
     tenant: str
     load: Load
@@ -55,15 +56,15 @@
 
 
 class Window:
-    """The last reports of a service's gates. Invariants: none is older than EVICTION_WINDOW; a gate that reports twice
-    at once counts twice, so a report is taken once for each (gate, number)."""
+    """The latest reports of a service's gateways. Invariants: none is older than EVICTION_WINDOW; since a report that
+    arrives twice would count twice, one is accepted for each (gateway, number)."""
 
     def __init__(self):
         self._reports, self._last = deque(), {}
         self.cache_tokens = 0
 
     def add(self, now, gate, number, report):
-        """Whether it was new. `report` is {"cache": tokens, "tenants": .., "rest": ..}."""
+        """Adds a report and returns whether it was new. `report` is {"cache": tokens, "tenants": .., "rest": ..}."""
         if self._last.get(gate, -1) >= number or (gate not in self._last and len(self._last) >= REPORTING_GATEWAYS):
             return False
         self._last[gate] = number
@@ -78,7 +79,7 @@
         self._last = {gate: number for gate, number in self._last.items() if gate in gates}
 
     def loads(self, now):
-        """({tenant: Load}, tokens/s of all the others), over as much of the window as there are reports of."""
+        """Returns ({tenant: Load}, tokens/s of all the others), over the part of the window that reports cover."""
         self._expire(now)
         span = min(EVICTION_WINDOW, now - self._reports[0][0] + EVICTION_ROUND) if self._reports else EVICTION_WINDOW
         totals, parts = {}, {}
@@ -103,7 +104,7 @@
 
 
 def pressure(loads, flow, count):
-    """(working sets, flow) of one of `count` replicas over which all requests are spread evenly."""
+    """Returns (working sets, flow) of one of `count` replicas over which all requests are spread evenly."""
     return (
         [(load.common, load.rate / count) for load in loads.values()],
         (flow + sum(load.rate * load.fresh for load in loads.values())) / count,
@@ -111,7 +112,7 @@
 
 
 def findings_of(loads, flow, cache_tokens, count):
-    """{tenant: Finding} as if nobody had been moved."""
+    """Returns {tenant: Finding} as if no tenant had been moved."""
     usable = CACHE_USABLE * cache_tokens
     together = characteristic_time(usable, *pressure(loads, flow, count))
     findings = {tenant: _finding(tenant, load, usable, count, together) for tenant, load in loads.items()}
@@ -131,14 +132,14 @@
 
 
 class Detector:
-    """Invariant: `_trapped` counts the rounds in a row with a trap, `_calm` for each tenant that is moved those in
-    which it was silent, or in which nobody would be evicted."""
+    """Invariant: `_trapped` counts the consecutive rounds with a trap, `_calm` for each moved tenant those in which
+    it sent nothing, or in which no tenant would be evicted."""
 
     def __init__(self):
         self._trapped, self._calm = 0, {}
 
     def judge(self, findings, moved):
-        """(tenants that are to be moved, those of `moved` that are to be let go)."""
+        """Returns (tenants to be moved, those of `moved` to be released)."""
         self._trapped = self._trapped + 1 if any(finding.is_trapped for finding in findings.values()) else 0
         is_calm = not any(finding.evicted >= EVICTED_END for finding in findings.values())
         self._calm = {name: self._calm.get(name, 0) + 1 for name in moved if is_calm or name not in findings}
--- a/packages/prefix_cache/oakramp/prefix_cache/planner.py
+++ b/packages/prefix_cache/oakramp/prefix_cache/planner.py
@@ -1,9 +1,9 @@
-"""Which replicas a trapped tenant's requests go to, so that the working sets that meet on a replica fit its cache.
+"""Plans which replicas a trapped tenant's requests go to, so that the working sets on a replica fit its cache together.
 
-By decreasing rate, each onto the replicas that are least full of planned rates and sets and have room for its working
-set; who was planned stays as long as its replicas do, so that a plan moves as little as it can. Replicas are not taken
-from anybody: those who are not trapped are placed as ever, on all of them, and what they hold there within a window is
-left out of the bins.
+By decreasing rate, each tenant is placed on the replicas that are least full of planned rates and sets and have room
+for its working set; a tenant that was planned before stays as long as its replicas do, so that a plan moves as little
+as possible. No replica is reserved: tenants that are not trapped are still placed on all of them, and the tokens that
+they hold there within a window are subtracted from the bins.
 """
 
 import math
@@ -22,7 +22,8 @@
 
 
 class _Bins:
-    """Invariant: `room` is the tokens left of `size` on each replica and `rate` the requests/s planned for it."""
+    """Invariant: `room` is the number of tokens left of `size` on each replica and `rate` the requests/s planned for
+    it."""
 
     def __init__(self, replicas, size, mean_rate):
         self._size, self._mean_rate = max(1.0, size), mean_rate
@@ -34,7 +35,7 @@
             self.rate[replica] += load.rate / len(replicas)
 
     def best(self, load, count, taken):
-        """At most `count` more replicas that have room."""
+        """Returns at most `count` more replicas that have room."""
         fit = [replica for replica in self.room if replica not in taken and self.room[replica] >= load.common]
         return sorted(fit, key=lambda replica: (self._fullness(replica), replica))[: max(0, count)]
 
@@ -43,20 +44,20 @@
 
 
 def replicas_needed(load, mean_rate, count):
-    """How many of `count` replicas this tenant's rate asks for."""
+    """Returns how many of `count` replicas this tenant's rate requires."""
     return max(1, min(math.ceil(load.rate / (HOT_SHARE * mean_rate)), int(TENANT_REPLICAS * count)))
 
 
 def _taken(loads, tenants, usable, count):
-    """Tokens of each replica's cache that go to working sets of who is not in the plan; they get no more than half of
+    """Returns the tokens of each replica's cache that working sets of tenants outside the plan take; at most half of
     it, so that a plan is not given up before `is_worth` has judged it."""
     others, _ = pressure({name: load for name, load in loads.items() if name not in tenants}, 0.0, count)
     return min(usable / 2, held(others, 0.0, EVICTION_WINDOW))
 
 
 def plan_of(loads, tenants, replicas, cache_tokens, previous):
-    """({tenant: replicas}, tenants that found no room). `previous` is the plan in force; `tenants` are to be in the new
-    one; `replicas` are the ids that are ready."""
+    """Returns ({tenant: replicas}, tenants without room). `previous` is the current plan; `tenants` are to be in the
+    new one; `replicas` are the ids that are ready."""
     usable, ready = CACHE_USABLE * cache_tokens, set(replicas)
     mean_rate = max(1e-9, sum(load.rate for load in loads.values()) / max(1, len(ready)))
     bins = _Bins(sorted(ready), BIN_SHARE * usable - _taken(loads, tenants, usable, max(1, len(ready))), mean_rate)
@@ -67,7 +68,7 @@
     plan, without_room = {}, []
     for name in sorted(tenants, key=lambda name: (name not in kept, -loads[name].rate if name in loads else 0.0, name)):
         stay = kept.get(name, [])
-        if name not in loads:  # silent for a moment
+        if name not in loads:  # without requests for a moment
             plan |= {name: stay} if stay else {}
             continue
         load = loads[name]
@@ -82,7 +83,7 @@
 
 
 def read_again(loads, flow, cache_tokens, replicas, plan):
-    """{tenant: tokens/s of its working set that are read again} under this plan."""
+    """Returns {tenant: tokens/s of its working set that are read again} under this plan."""
     usable, count = CACHE_USABLE * cache_tokens, len(replicas)
     lost = dict.fromkeys(loads, 0.0)
     for replica in replicas:
@@ -99,7 +100,8 @@
 
 
 def is_worth(loads, flow, cache_tokens, replicas, plan):
-    """Whether the plan saves enough of what its tenants read again, and makes none of the others read more."""
+    """Whether the plan saves enough of the tokens that its tenants read again, and the other tenants together do not
+    read more again."""
     before, after = (read_again(loads, flow, cache_tokens, replicas, one) for one in ({}, plan))
     moved = [name for name in plan if name in loads]
     others = [name for name in loads if name not in plan]
