--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -57,7 +57,7 @@
         self.on_reply = set()  # called, in any order, when a node has replied
         self.on_contact = (
             set()
-        )  # called, in any order, when a node replies or pulls that had not done so within CONDITION_AGE
+        )  # called, in any order, when a node replies or pulls that had not done so within LIVENESS_AGE
         self._sent_vectors = {}  # address -> the vector that was sent there, if the peer has stored it
         self._received_vectors = {}  # node id -> the vector received from that node
         self._rounds, self._round_at = 0, float("inf")  # when the last round started (monotonic seconds)
--- a/packages/rpc/oakramp/rpc/endpoint.py
+++ b/packages/rpc/oakramp/rpc/endpoint.py
@@ -470,7 +470,8 @@
     async def _replace_silent(self, address, silent):
         """Dials beside a connection that has fallen silent, until bytes arrive on it or a new one is established.
 
-        After SILENT_CONNECTION_TIME seconds the silent one is closed, so that calls fail at once instead of at their deadlines.
+        After SILENT_CONNECTION_TIME seconds the silent one is closed, so that calls fail at once instead of at their
+        deadlines.
         """
         ends_at, received = self.reactor.seconds() + SILENT_CONNECTION_TIME, silent.received
         while silent.connected and silent.received == received:
