--- a/packages/store/oakramp/store/conversations.py
+++ b/packages/store/oakramp/store/conversations.py
@@ -1,5 +1,6 @@
-"""The gate's side of lines: the paper's client. It reads from a quorum, reduces the replies with sync,
-keeps the context, and writes with that context. Values are sets of turns; siblings merge by union."""
+"""The gateway's client for conversations whose versions carry the turns themselves. Like the client in the paper on
+version vectors, it reads from a quorum, reduces the replies with `sync_versions`, keeps the causal context and writes
+with that context. Values are sets of turns; siblings are merged by union."""
 
 import json
 
@@ -23,12 +24,13 @@
 from oakramp.version_vectors.causal_context import to_context
 from oakramp.version_vectors.version_vector import sync_versions
 
-RETRY_PAUSE = 0.1  # s; between rounds over the stores while one of them changes condition
+RETRY_PAUSE = 0.1  # s; between rounds over the stores, for instance while one of them restarts or copies data
 
 
 class Conversation:
-    """What a quorum said. Invariant: `turns` is the union over all siblings that `context` stands for. `isFull` if
-    so many of the stores have no room that a longer line may not be kept."""
+    """The result of a quorum read. Invariant: `turns` is the union over all siblings that `context` covers.
+    `is_full` if more than half of the stores that replied are full, so that a longer conversation may not be
+    retained."""
 
     def __init__(self, versions, is_full=False):
         self.is_full = is_full
@@ -42,7 +44,7 @@
         path = []
         while turn_id is not None:
             if turn_id not in self.turns:
-                raise TurnExpiredError(f"turn {turn_id} is not kept")
+                raise TurnExpiredError(f"turn {turn_id} is not retained any more")
             path.append(self.turns[turn_id])
             turn_id = self.turns[turn_id]["parent"]
         return path[::-1]
@@ -59,17 +61,18 @@
     def _stores(self):
         stores = StoreMembership.from_state_table(self._node.state_table)
         if not stores.epoch:
-            raise QuorumUnavailableError("the store set is not known here yet", retry_after=1)
+            raise QuorumUnavailableError("the store membership is not known on this node yet", retry_after=1)
         return stores
 
     async def get(self, key, time_left):
-        """The line as a covering quorum has it. QuorumUnavailableError if too few stores that may speak answered."""
-        ends_at = self._node.reactor.seconds() + time_left
+        """Reads the conversation from a quorum of stores with a complete copy. QuorumUnavailableError if too few of
+        these replied."""
+        deadline = self._node.reactor.seconds() + time_left
         while True:
             stores = self._stores()
             reached, states = await quorum_of(
                 {
-                    node_id: self._get_from(node_id, row["peer"], key, stores.epoch)
+                    node_id: self._read_from(node_id, row["peer"], key, stores.epoch)
                     for node_id, row in stores.readers.items()
                 },
                 lambda node_ids: len(node_ids) >= majority(stores.readers),
@@ -79,37 +82,39 @@
                 for state in states.values():
                     versions = sync_versions(versions, from_state(state))
                 return Conversation(versions, sum(bool(state.full) for state in states.values()) > len(states) // 2)
-            if self._node.reactor.seconds() + RETRY_PAUSE >= ends_at:
-                raise QuorumUnavailableError("too few stores answered to say what is kept", retry_after=1)
+            if self._node.reactor.seconds() + RETRY_PAUSE >= deadline:
+                raise QuorumUnavailableError("too few stores replied to determine what is retained", retry_after=1)
             await sleep(self._node.reactor, RETRY_PAUSE)
 
-    async def _get_from(self, node_id, peer, key, epoch):
+    async def _read_from(self, node_id, peer, key, epoch):
         state = await self.calls.call(node_id, peer, "lineGet", STORE_CALL_TIME, key=key)
         if state.store_epoch != epoch:
             raise StaleEpochError(f"store epoch {state.store_epoch} is not {epoch}")
         if not state.covers:
-            raise QuorumUnavailableError("this store may not speak yet")
+            raise QuorumUnavailableError(
+                "this store has not finished copying data and may not take part in a read quorum yet"
+            )
         return state
 
-    async def keep(self, key, line, turn_id, turn, time_left):
-        """Writes the union and the new turn with the context of the read. Returns once a quorum has it on
-        disk. A try whose outcome is not known is made again elsewhere: at worst that leaves two siblings
-        with the same turn, which the next write supersedes."""
-        if turn_id in line.turns and line.turns[turn_id] != turn:
-            raise ConflictError(f"turn {turn_id} is on this line already")
-        if len(line.turns) >= CONVERSATION_TURNS:
-            raise ConflictError(f"a line holds at most {CONVERSATION_TURNS} turns")
-        value = pack_json({"turns": line.turns | {turn_id: turn}})
+    async def keep(self, key, conversation, turn_id, turn, time_left):
+        """Writes the union of the siblings and the new turn with the context of the read. Returns once a quorum has
+        it on disk. An attempt with an unknown outcome is retried on another store: at worst that leaves two
+        siblings with the same turn, superseded by the next write."""
+        if turn_id in conversation.turns and conversation.turns[turn_id] != turn:
+            raise ConflictError(f"turn {turn_id} is in this conversation already")
+        if len(conversation.turns) >= CONVERSATION_TURNS:
+            raise ConflictError(f"a conversation holds at most {CONVERSATION_TURNS} turns")
+        value = pack_json({"turns": conversation.turns | {turn_id: turn}})
         reactor = self._node.reactor
-        ends_at = reactor.seconds() + time_left
-        unsure = False
-        while reactor.seconds() < ends_at:
+        deadline = reactor.seconds() + time_left
+        outcome_unknown = False
+        while reactor.seconds() < deadline:
             stores = self._stores()
             order = sorted(
                 ranked(stores.readers, key), key=lambda node_id: self._node.members.condition(node_id) != LIVE
             )
             for node_id in order:
-                remaining = min(CALL_TIME, ends_at - reactor.seconds())
+                remaining = min(CALL_TIME, deadline - reactor.seconds())
                 if remaining <= 0:
                     break
                 try:
@@ -119,13 +124,13 @@
                         "linePut",
                         remaining,
                         key=key,
-                        context=line.context,
+                        context=conversation.context,
                         value=value,
                         store_epoch=stores.epoch,
                     )
                 except OakrampError as error:
-                    unsure = unsure or error.verdict is not Verdict.NO
+                    outcome_unknown = outcome_unknown or error.verdict is not Verdict.NO
             await sleep(reactor, RETRY_PAUSE)
         raise OutcomeUnknownError(
-            "no quorum of stores said that it keeps the turn", Verdict.MAYBE if unsure else Verdict.NO
+            "no quorum of stores confirmed that it retained the turn", Verdict.MAYBE if outcome_unknown else Verdict.NO
         )
