--- a/packages/store/oakramp/store/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -1,12 +1,13 @@
-"""Anti-entropy between stores: each takes from the others what it lacks.
+"""Anti-entropy between stores: each store fetches from the others what it lacks.
 
-The lines of a store fall into buckets by their keys; a bucket's sum is that of its lines' digests. One small message
-compares all sums, so two stores that agree say no more. Of the buckets that differ, the lines' digests are compared,
-and of the lines that differ, versions and the ids of the turns whose records the other one keeps.
+Conversations are assigned to buckets by their keys; the sum of a bucket is the sum of its conversations' digests. One
+small message compares all sums, so two stores that agree exchange nothing else. For buckets that differ, the digests
+of their conversations are compared; for conversations that differ, the versions and the ids of the turns whose records
+the other store keeps are exchanged.
 
-A line's digest covers its clocks only. That a store lacks records of a line whose clocks it has is known to itself:
-its versions name turns that are neither here nor were let go. It asks each member for them until it has them, or all
-the others have said that they keep none.
+A conversation's digest covers its clocks only. A store detects by itself that it lacks records of a conversation whose
+clocks it has: the versions name turns whose records are neither present nor were dropped. It asks each member for
+them until it has them, or all the others have replied that they have none.
 """
 
 from typing import NamedTuple
@@ -22,8 +23,8 @@
 
 
 class StoreAddress(NamedTuple):
-    """A store and where it listens. Calls name the store: once its disk is lost, another one may listen there, which
-    keeps nothing of what this one kept and never speaks for it."""
+    """A store and the address on which it listens. Calls name the store, since after the loss of its disk another
+    store may listen there, which has none of its data and must not be counted as this one."""
 
     node_id: str
     address: str
@@ -33,7 +34,7 @@
     """Compares this store's conversations with those of its peers, and fetches what differs."""
 
     def __init__(self, node, table, metrics, stores):
-        """`stores()` gives the store set as it stands here."""
+        """`stores()` returns the store set as this node knows it."""
         self._node, self._net, self._table, self._records = node, node.net, table, table.records
         self._metrics, self._stores = metrics, stores
         for method, handler in (
@@ -51,10 +52,10 @@
         if epoch != self._stores().epoch:
             raise StaleEpochError(f"store epoch {epoch} is not {self._stores().epoch}")
 
-    # --- what others ask ---
+    # --- requests from other stores ---
 
     async def _serve_digests(self, _peer, arguments):
-        """For stores of the release before, which compare all lines."""
+        """Serves stores of the previous release, which compare the digests of all conversations."""
         keys = self._table.keys_after(arguments.after, min(arguments.most, CLEANUP_KEYS))
         return idl.DigestPage(
             store_epoch=self._stores().epoch,
@@ -62,7 +63,7 @@
         )
 
     async def _serve_sums(self, _peer, _arguments):
-        return idl.LineSums(store_epoch=self._stores().epoch, sums=self._table.sums())
+        return idl.LineSums(store_epoch=self._stores().epoch, sums=self._table.bucket_sums())
 
     async def _serve_buckets(self, _peer, arguments):
         page = self._table.digests_after(arguments.buckets, arguments.after, min(arguments.most, CLEANUP_KEYS))
@@ -79,8 +80,8 @@
                     key=key,
                     line=to_state(table.versions(key), age=table.age(key)),
                     turns=[
-                        idl.TurnAge(turn_id=turn_id, left_ms=int(1000 * records.left(turn_id)))
-                        for turn_id in records.on_line(key)
+                        idl.TurnAge(turn_id=turn_id, left_ms=int(1000 * records.seconds_left(turn_id)))
+                        for turn_id in records.turn_ids_of(key)
                     ],
                 )
                 for key in arguments.keys[:CLEANUP_KEYS]
@@ -89,19 +90,19 @@
         )
 
     async def _serve_ages(self, _peer, arguments):
-        """For how much longer each of these turns is kept here: 0 if its time was over, -1 if it is not known."""
-        lefts = [self._records.left(turn_id) for turn_id in arguments.turn_ids]
-        return [-1 if left is None else int(1000 * left) for left in lefts]
+        """Remaining retention of each of these turns in ms: 0 if it has ended, -1 if the turn is not known here."""
+        all_seconds_left = [self._records.seconds_left(turn_id) for turn_id in arguments.turn_ids]
+        return [-1 if seconds_left is None else int(1000 * seconds_left) for seconds_left in all_seconds_left]
 
     async def _serve_chains(self, _peer, arguments):
-        return self._records.closure(arguments.turn_ids)
+        return self._records.with_ancestors(arguments.turn_ids)
 
     async def _serve_records(self, _peer, arguments):
         page = self._records.page([turn_id for turn_id in arguments.turn_ids if turn_id in self._records], RECORD_PAGE)
         return idl.RecordPage(
             store_epoch=self._stores().epoch,
             records=page,
-            left_ms=[int(1000 * self._records.left(read_header(packed).turn_id)) for packed in page],
+            left_ms=[int(1000 * self._records.seconds_left(read_header(packed).turn_id)) for packed in page],
         )
 
     # --- records ---
@@ -109,46 +110,46 @@
     def _call(self, store, method, **arguments):
         return self._net.call(store.address, method, STORE_CALL_TIME, to=store.node_id, **arguments)
 
-    async def pull(self, store, turn_ids):
-        """Takes the records of these turns that are not here from this store; the next page is on its way while one
-        goes to the disk. Gives the ids of those that came."""
-        wanted, brought, keeping = [one for one in turn_ids if one not in self._records], [], defer.succeed(None)
+    async def fetch_records(self, store, turn_ids):
+        """Fetches those of these turns' records that are not here from this store; the next page is requested while one
+        is written to disk. Returns the ids of the records received."""
+        wanted, fetched, storing = [one for one in turn_ids if one not in self._records], [], defer.succeed(None)
         while wanted:
-            asked, wanted = wanted[:COPY_PAGE_TURNS], wanted[COPY_PAGE_TURNS:]
-            page = await self._call(store, "turnRecords", turn_ids=asked)
+            requested, wanted = wanted[:COPY_PAGE_TURNS], wanted[COPY_PAGE_TURNS:]
+            page = await self._call(store, "turnRecords", turn_ids=requested)
             if page.records:
                 ids = {read_header(packed).turn_id for packed in page.records}
-                # Those asked for before the last that came, and not given, are not kept there.
-                last = max(place for place, turn_id in enumerate(asked) if turn_id in ids)
-                wanted = asked[last + 1 :] + wanted
-                brought += ids
-                await keeping
-                keeping = defer.ensureDeferred(
+                # A record that was requested before the last one received, and is missing, is not kept there.
+                last = max(index for index, turn_id in enumerate(requested) if turn_id in ids)
+                wanted = requested[last + 1 :] + wanted
+                fetched += ids
+                await storing
+                storing = defer.ensureDeferred(
                     self._table.keep_records(list(zip(page.records, (ms / 1000 for ms in page.left_ms))))
                 )
                 self._metrics.count("records_pulled", len(ids))
-        await keeping
-        return brought
+        await storing
+        return fetched
 
-    async def pull_chains(self, store, turn_ids):
-        """The same with all their ancestors."""
-        await self.pull(store, await self._call(store, "turnChains", turn_ids=turn_ids))
+    async def fetch_chains(self, store, turn_ids):
+        """Like `fetch_records`, with all ancestors of these turns."""
+        await self.fetch_records(store, await self._call(store, "turnChains", turn_ids=turn_ids))
 
-    async def take(self, store, turn_ids):
-        """Takes those of these turns with their chains that are neither here nor were let go here."""
+    async def fetch_unknown_chains(self, store, turn_ids):
+        """Fetches those of these turns, with their chains, that are neither here nor were dropped here."""
         wanted = [one for one in turn_ids if one not in self._records and not self._records.was_dropped(one)]
         if wanted:
-            await self.pull_chains(store, wanted)
+            await self.fetch_chains(store, wanted)
 
-    async def bring_chain(self, turn_id, stores):
-        """Whether this turn and all its ancestors are on the disk here now; what is missing is asked of these
-        stores in turn. Who goes on from a turn keeps its chain too."""
+    async def ensure_chain(self, turn_id, stores):
+        """Fetches what is missing of this turn and its ancestors from these stores, one after another. Returns whether
+        all of them are on disk here now. A turn that is continued has its retention extended with its chain."""
         for store in stores:
             missing = self._records.chain(turn_id)[1]
             if missing is None:
                 break
             try:
-                await self.pull_chains(store, [missing])
+                await self.fetch_chains(store, [missing])
             except OakrampError as error:
                 self._node.log.info("history_not_fetched", member=store.node_id, reason=error.reason)
         if self._records.chain(turn_id)[1] is not None:
@@ -157,88 +158,92 @@
             self._records.touch(turn_id)
         return True
 
-    # --- a round with one member ---
+    # --- a round of anti-entropy with one member ---
 
-    async def compare(self, store):
-        """Takes from the member all that it has and this store has not. What it took in since it was asked for its
-        sums is not among it: that it sends to all members by itself."""
-        answer = await self._call(store, "lineSums")
-        # A member in our epoch sends us what it writes from now on; one in an older epoch does not.
-        self._check_epoch(answer.store_epoch)
-        buckets, after, pulled = self._table.differing(answer.sums), "", []
+    async def reconcile(self, store):
+        """Fetches from the member all that it has and this store lacks. This excludes what the member has received
+        since it was asked for its sums: such writes it sends to all members by itself."""
+        reply = await self._call(store, "lineSums")
+        # A member in the same epoch sends its later writes to this store; one in an older epoch does not.
+        self._check_epoch(reply.store_epoch)
+        buckets, after, fetched = self._table.differing(reply.sums), "", []
         while buckets:
             page = await self._call(store, "lineBuckets", buckets=buckets, after=after, most=CLEANUP_KEYS)
             self._check_epoch(page.store_epoch)
             digests = page.digests or []
-            pulled += await self._take_lines(
+            fetched += await self._fetch_conversations(
                 store, [one.key for one in digests if self._table.digest_of(one.key) != one.digest]
             )
             if len(digests) < CLEANUP_KEYS:
-                await self._settle_alone(store, buckets, {one.key for one in digests} if not after else None)
+                await self._shorten_unshared(store, buckets, {one.key for one in digests} if not after else None)
                 break
             after = digests[-1].key
             buckets = buckets[buckets.index(bucket_of(after)) :]
-        await self._repair_chains(store, pulled)
-        await self._ask_lacking(store)
+        await self._repair_chains(store, fetched)
+        await self._fetch_missing_records(store)
 
-    async def _take_lines(self, store, keys):
-        """First the records, then the versions that name them."""
+    async def _fetch_conversations(self, store, keys):
+        """Fetches the records first, then merges the versions that name them."""
         if not keys:
             return []
         page = await self._call(store, "lineTurns", keys=keys)
         self._check_epoch(page.store_epoch)
-        lines = page.lines or []
-        turns = [turn for one in lines for turn in one.turns or []]
+        conversations = page.lines or []
+        turns = [turn for one in conversations for turn in one.turns or []]
         for turn in turns:
             self._records.shorten(turn.turn_id, turn.left_ms / 1000)
-        pulled = await self.pull(store, [turn.turn_id for turn in turns if not self._records.was_dropped(turn.turn_id)])
-        # A line of turns of which none is kept here any more is gone here.
-        lines = [
+        fetched = await self.fetch_records(
+            store, [turn.turn_id for turn in turns if not self._records.was_dropped(turn.turn_id)]
+        )
+        # A conversation whose turns have all been dropped here has itself been dropped here.
+        conversations = [
             one
-            for one in lines
+            for one in conversations
             if one.key in self._table.rows
             or not one.key.startswith(TURN_LINE)
             or any(turn.turn_id in self._records for turn in one.turns or [])
         ]
-        # Together, so that one sync of the disk covers many of them.
+        # Merged concurrently, so that one sync of the disk covers many of them.
         merged = await settled(
-            [self._table.merge(one.key, from_state(one.line), one.line.age_ms / 1000) for one in lines]
+            [self._table.merge(one.key, from_state(one.line), one.line.age_ms / 1000) for one in conversations]
         )
-        self._metrics.count("lines_synced", len(lines))
+        self._metrics.count("lines_synced", len(conversations))
         for error in [error for ok, error in merged if not ok]:
             raise error
-        return pulled
+        return fetched
 
-    async def _repair_chains(self, store, pulled):
-        """Ancestors that were let go here while nobody had gone on from them, as far as was known here."""
-        missing = {self._records.chain(turn_id)[1] for turn_id in pulled} - {None}
+    async def _repair_chains(self, store, fetched):
+        """Fetches ancestors that were dropped here because this store did not know of any turn that continues them."""
+        missing = {self._records.chain(turn_id)[1] for turn_id in fetched} - {None}
         if missing:
-            await self.pull_chains(store, sorted(missing))
+            await self.fetch_chains(store, sorted(missing))
 
-    async def _settle_alone(self, store, buckets, theirs):
-        """Lines that only this store still has, of these buckets: after a restart it does not know how long it has
-        had them. The member may have let their turns go."""
-        if theirs is None:
+    async def _shorten_unshared(self, store, buckets, member_keys):
+        """Shortens the retention of conversations in these buckets that only this store still has: after a restart it
+        does not know how long it has had them, and the member may have dropped their turns."""
+        if member_keys is None:
             return
-        alone = [
+        unshared = [
             key
             for key, _ in self._table.digests_after(buckets, "", CLEANUP_KEYS)
-            if key.startswith(TURN_LINE) and key not in theirs
+            if key.startswith(TURN_LINE) and key not in member_keys
         ]
-        turn_ids = [turn_id for key in alone for turn_id in self._records.on_line(key)][:COPY_PAGE_TURNS]
+        turn_ids = [turn_id for key in unshared for turn_id in self._records.turn_ids_of(key)][:COPY_PAGE_TURNS]
         if turn_ids:
             self._shorten(turn_ids, await self._call(store, "turnAges", turn_ids=turn_ids))
 
-    def _shorten(self, turn_ids, lefts):
-        for turn_id, left in zip(turn_ids, lefts):
-            if left >= 0:
-                self._records.shorten(turn_id, left / 1000)
+    def _shorten(self, turn_ids, all_left_ms):
+        for turn_id, left_ms in zip(turn_ids, all_left_ms):
+            if left_ms >= 0:
+                self._records.shorten(turn_id, left_ms / 1000)
 
-    async def _ask_lacking(self, store):
-        lacking = self._table.lacking_of(store.node_id, COPY_PAGE_TURNS)
-        if not lacking:
+    async def _fetch_missing_records(self, store):
+        missing = self._table.missing_records_for(store.node_id, COPY_PAGE_TURNS)
+        if not missing:
             return
-        lefts = await self._call(store, "turnAges", turn_ids=lacking)
-        await self.pull_chains(store, [turn_id for turn_id, left in zip(lacking, lefts) if left > 0])
+        all_left_ms = await self._call(store, "turnAges", turn_ids=missing)
+        await self.fetch_chains(store, [turn_id for turn_id, left_ms in zip(missing, all_left_ms) if left_ms > 0])
         others = self._stores().everyone.keys() - {self._node.node_id}
-        self._table.note_absent(store.node_id, [turn_id for turn_id, left in zip(lacking, lefts) if left <= 0], others)
+        self._table.note_absent(
+            store.node_id, [turn_id for turn_id, left_ms in zip(missing, all_left_ms) if left_ms <= 0], others
+        )
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -1,4 +1,4 @@
-"""A store node: coordinates puts, keeps replicas, hands over what others missed, and sweeps."""
+"""A store node: coordinates writes, keeps replicas, delivers hinted writes that others missed, and runs cleanup."""
 
 import json
 import time
@@ -45,67 +45,69 @@
 from oakramp.version_vectors.causal_context import from_context, to_context
 
 COVERS = "covers"
-EMPTYING = "emptying"  # a file that stands as long as the folder is being cleared
+EMPTYING = "emptying"  # marker file that exists while the data folder is being cleared
 
 
 class Store:
-    """Invariants: `_hints[member]` names lines whose newest state that member may lack; a name leaves it
-    only when the member has said that it keeps the line, or when the bound pushes it out, after which
-    anti-entropy finds it. `_coversSince` is on the disk before this store speaks about what is missing, and
-    is the epoch in which it began to copy: a store that left the set and came again copies again."""
+    """Invariants: `_hints[member]` holds the keys of conversations whose newest state that member may lack. A key is
+    removed only when the member has confirmed that it stored the conversation, or when HINT_LIMIT evicts it; after
+    an eviction anti-entropy finds the difference. `_covers_since` is the epoch in which this store began to copy, and
+    is on disk before the store takes part in read quorums that decide what is missing: a store that left the set and
+    joined again copies again."""
 
     def __init__(self, node, ring):
         self._node, self._ring, self._log = node, ring, node.log
         self.table = ConversationTable(node, ring)
         self._covers_since = int(ring.table.get(COVERS, b"0"))
         self._hints = {}
-        self._pass_epoch, self._covered_from = 0, set()
+        self._copy_epoch, self._copied_from = 0, set()
         self.stores = StoreMembership.from_state_table(node.state_table)
-        node.state_table.watch(STORES_KEY, self._stores_moved)
-        ring.on_fault_change.add(self._cleanup_soon)  # once it has recovered, it takes what it missed
+        node.state_table.watch(STORES_KEY, self._on_membership_change)
+        # After a storage fault has been repaired, the store fetches what it missed.
+        ring.on_fault_change.add(self._wake_cleanup)
         self.metrics = Metrics()
         self._anti_entropy = AntiEntropy(node, self.table, self.metrics, lambda: self.stores)
-        self._sweeper = Repeater(node.reactor, 0.0, self._wait_and_cleanup, node.log)
-        self._wake = defer.Deferred()
+        self._cleanup_task = Repeater(node.reactor, 0.0, self._wait_and_cleanup, node.log)
+        self._cleanup_wakeup = defer.Deferred()
         for method, handler in (
-            ("lineGet", self._get),
-            ("linePut", self._put),
-            ("lineKeep", self._keep),
-            ("storeStatus", self._status),
-            ("turnRecall", self._turn_read_history),
-            ("turnRetain", self._turn_retain),
-            ("turnKeep", self._turn_keep),
-            ("turnOffer", self._turn_offer),
+            ("lineGet", self._serve_get),
+            ("linePut", self._serve_put),
+            ("lineKeep", self._serve_keep),
+            ("storeStatus", self._serve_status),
+            ("turnRecall", self._serve_read_history),
+            ("turnRetain", self._serve_retain),
+            ("turnKeep", self._serve_turn_keep),
+            ("turnOffer", self._serve_turn_offer),
         ):
             node.net.handle(method, handler)
 
     def start(self):
-        self._sweeper.start()
+        self._cleanup_task.start()
 
     def stop(self):
-        """Stops the periodic work and ends commands under way."""
-        self._sweeper.stop()
+        """Stops the periodic work and ends commands in flight."""
+        self._cleanup_task.stop()
         self.table.stop()
 
-    def _stores_moved(self, _source):
+    def _on_membership_change(self, _source):
         self.stores = StoreMembership.from_state_table(self._node.state_table)
-        # Nobody is handed anything any more who has left the set; come back, it copies.
+        # A store that has left the set gets no hinted writes any more; if it joins again, it copies everything.
         self._hints = {node_id: hints for node_id, hints in self._hints.items() if node_id in self.stores.everyone}
         self.table.prune(self.stores.pruned)
-        self._cleanup_soon()
+        self._wake_cleanup()
 
     @property
     def is_member(self):
         return self._node.node_id in self.stores.everyone
 
     def has_spare(self):
-        """Whether a live store is there that could take this one's place."""
+        """Whether there is a live spare store that could replace this one."""
         record = self.stores.record
         return any(
-            one.node_id not in self.stores.everyone
-            and one.node_id not in record["retired"]
-            and one.machine not in record.get("emptied", ())
-            for one in self._node.members.live("store")
+            other.node_id not in self.stores.everyone
+            and other.node_id not in record["retired"]
+            and other.machine not in record.get("emptied", ())
+            for other in self._node.members.live("store")
         )
 
     @property
@@ -116,11 +118,11 @@
     def covers(self):
         return self.is_member and self._covers_since == self.stores.since(self._node.node_id)
 
-    def _others(self):
+    def _other_members(self):
         return {node_id: row["peer"] for node_id, row in self.stores.everyone.items() if node_id != self._node.node_id}
 
     def _other_stores(self):
-        return [StoreAddress(*one) for one in self._others().items()]
+        return [StoreAddress(*other) for other in self._other_members().items()]
 
     @staticmethod
     def _sender_of(arguments, stores):
@@ -134,7 +136,7 @@
 
     # --- calls ---
 
-    async def _get(self, _peer, arguments):
+    async def _serve_get(self, _peer, arguments):
         self.metrics.count("line_gets")
         return to_state(
             self.table.versions(arguments.key),
@@ -144,8 +146,8 @@
             self.table.is_full(),
         )
 
-    def _adopt(self, record):
-        """A version of the set that was confirmed, told before the news of it came."""
+    def _adopt_membership(self, record):
+        """Takes over a committed version of the store set that arrived by a call before it arrived by gossip."""
         if record["version"] > self.stores.epoch:
             self._node.state_table.set_items(STORES_KEY, record["version"], {"set": pack_json(record)})
 
@@ -157,60 +159,62 @@
             )
 
     def _check_sender(self, arguments):
-        """The set as it stands here, which is the sender's too."""
+        """Returns the store set, after checking that the sender has the same epoch and is a member."""
         self._check_epoch(arguments.state.store_epoch)
         if arguments.sender not in self.stores.everyone:
             raise StaleEpochError(f"{arguments.sender} is not in the store set")
         return self.stores
 
-    async def _put(self, _peer, arguments):
+    async def _serve_put(self, _peer, arguments):
         stores = self.stores
         self._check_epoch(arguments.store_epoch)
         if not self.is_member:
-            raise StaleEpochError("this store is not in the set")
+            raise StaleEpochError("this store is not in the store set")
         if len(arguments.value) > CONVERSATION_SIZE:
-            raise TooLargeError(f"a line of {len(arguments.value)} bytes is over {CONVERSATION_SIZE}")
+            raise TooLargeError(f"a conversation of {len(arguments.value)} bytes is over {CONVERSATION_SIZE}")
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
             raise BadRequestError(f"no context: {error}") from error
         versions, clock = await self.table.put(arguments.key, context_set, arguments.value)
-        self._check_still(stores)
+        self._check_epoch_unchanged(stores)
         self.metrics.count("line_puts")
         await self._replicate(arguments.key, versions, stores)
         return to_context(frozenset([clock]))
 
     async def _replicate(self, key, versions, stores):
-        """Returns once a write quorum of that epoch keeps the versions."""
+        """Returns once a write quorum of that epoch has stored the versions."""
         state = to_state(versions, store_epoch=stores.epoch)
-        await self._replicate_to(stores, key, lambda node_id, peer: self._give(node_id, peer, key, state))
+        await self._replicate_to(stores, key, lambda node_id, peer: self._send_conversation(node_id, peer, key, state))
 
-    async def _replicate_to(self, stores, key, give):
+    async def _replicate_to(self, stores, key, send):
         reached, errors = await quorum_of(
-            {node_id: give(node_id, peer) for node_id, peer in self._others().items()},
+            {node_id: send(node_id, peer) for node_id, peer in self._other_members().items()},
             lambda node_ids: stores.is_written(node_ids | {self._node.node_id}),
         )
         if not reached:
             raise OutcomeUnknownError(
-                "the line did not reach a quorum of stores, it may still be kept: "
+                "the write did not reach a quorum of stores, it may still be retained: "
                 + "; ".join(sorted(map(str, errors.values())))
             )
-        self._check_still(stores)
+        self._check_epoch_unchanged(stores)
 
-    def _check_still(self, stores):
-        """What was on its way to the disk while the set moved on is no vote of the former epoch: a newcomer may have
-        copied from here just before."""
+    def _check_epoch_unchanged(self, stores):
+        """Rejects a write that went to disk while the store set changed: it does not count as a vote in the earlier
+        epoch, since a joining store may have copied from here just before it."""
         if self.stores.epoch != stores.epoch:
-            raise OutcomeUnknownError(f"the set moved on to epoch {self.stores.epoch}; what is here may still be kept")
+            raise OutcomeUnknownError(
+                f"the store set changed to epoch {self.stores.epoch}; the write may still be retained"
+            )
 
-    async def _give(self, node_id, peer, key, state):
-        await self._give_noted(node_id, peer, "lineKeep", key, state)
+    async def _send_conversation(self, node_id, peer, key, state):
+        await self._send_with_hint(node_id, peer, "lineKeep", key, state)
 
-    async def _give_noted(self, node_id, peer, method, key, state, **more):
-        """Gives a line's state to another store by this method, and keeps a hint until that store has it."""
-        # Of a set that is past, a member may have left meanwhile: then this is a list that nobody keeps.
+    async def _send_with_hint(self, node_id, peer, method, key, state, **more):
+        """Sends a conversation's state to another store by this method, and keeps a hint until that store has it."""
+        # The member may have left the set since the call began: then the hint goes into a list that is discarded.
         hints = self._hints.setdefault(node_id, OrderedDict()) if node_id in self.stores.everyone else OrderedDict()
-        # Noted before it is sent: a crash of neither side may lose what the other lacks.
+        # Recorded before the state is sent, so that a crash of either side does not lose track of what is missing.
         hints[key] = None
         hints.move_to_end(key)
         if len(hints) > HINT_LIMIT:
@@ -221,21 +225,21 @@
         if self.table.versions(key).keys() <= from_state(state).keys():
             hints.pop(key, None)
 
-    async def _keep(self, _peer, arguments):
+    async def _serve_keep(self, _peer, arguments):
         stores = self._check_sender(arguments)
         await self.table.merge(arguments.key, from_state(arguments.state), arguments.state.age_ms / 1000)
-        self._check_still(stores)
+        self._check_epoch_unchanged(stores)
         self.metrics.count("line_keeps")
         return True
 
-    # --- turns: the versions are sets of turn ids, the records lie beside them ---
+    # --- turns: the versions are sets of turn ids, the records are stored separately ---
 
-    async def _turn_read_history(self, _peer, arguments):
-        """What this store knows of a turn. Asked with bodies, it gives the chain's records from this turn up to the
-        oldest, or as many as fit one page."""
+    async def _serve_read_history(self, _peer, arguments):
+        """Returns what this store knows about a turn; with `bodies` also the chain's records from this turn back to the
+        oldest, as many as fit one page."""
         self.metrics.count("turn_recalls")
         table, records, turn_id = self.table, self.table.records, arguments.turn_id
-        key = table.line_of(turn_id)
+        key = table.key_of_turn(turn_id)
         ids, missing = records.chain(turn_id)
         is_whole = missing is None
         if is_whole:
@@ -248,56 +252,56 @@
             records=records.page(ids, RECORD_PAGE) if arguments.bodies else None,
         )
 
-    async def _turn_retain(self, _peer, arguments):
+    async def _serve_retain(self, _peer, arguments):
         stores = self.stores
         self._check_epoch(arguments.store_epoch)
         if not self.is_member:
-            raise StaleEpochError("this store is not in the set")
+            raise StaleEpochError("this store is not in the store set")
         if len(arguments.value) > CONVERSATION_SIZE:
-            raise TooLargeError(f"the turns of a line take {len(arguments.value)} bytes, over {CONVERSATION_SIZE}")
+            raise TooLargeError(f"the turns of a conversation take {len(arguments.value)} bytes, over {CONVERSATION_SIZE}")
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
             raise BadRequestError(f"no context: {error}") from error
         header = read_header(arguments.record)
-        await self._bring_chain(header.parent, self._other_stores())
+        await self._ensure_chain(header.parent, self._other_stores())
         versions, clock = await self.table.put(
             arguments.key, context_set, arguments.value, [(arguments.record, header.keep_s)]
         )
-        self._check_still(stores)
+        self._check_epoch_unchanged(stores)
         self.metrics.count("turn_retains")
         state = to_state(versions, store_epoch=stores.epoch)
         await self._replicate_to(
             stores,
             arguments.key,
-            lambda node_id, peer: self._give_turn(
+            lambda node_id, peer: self._send_turn(
                 node_id, peer, arguments.key, state, [arguments.record], [header.keep_s]
             ),
         )
         return to_context(frozenset([clock]))
 
-    async def _bring_chain(self, turn_id, stores):
-        if not await self._anti_entropy.bring_chain(turn_id, stores):
-            raise QuorumUnavailableError(f"the chain of turn {turn_id} is not here", retry_after=1)
+    async def _ensure_chain(self, turn_id, stores):
+        if not await self._anti_entropy.ensure_chain(turn_id, stores):
+            raise QuorumUnavailableError(f"the chain of turn {turn_id} is not on this store", retry_after=1)
 
-    async def _give_turn(self, node_id, peer, key, state, records, lefts):
-        left_ms = [int(left * 1000) for left in lefts]
-        await self._give_noted(node_id, peer, "turnKeep", key, state, records=records, left_ms=left_ms)
+    async def _send_turn(self, node_id, peer, key, state, records, seconds_left):
+        left_ms = [int(seconds * 1000) for seconds in seconds_left]
+        await self._send_with_hint(node_id, peer, "turnKeep", key, state, records=records, left_ms=left_ms)
 
-    async def _turn_keep(self, _peer, arguments):
-        """Says yes only when the versions, the records and their whole chains are on the disk here."""
+    async def _serve_turn_keep(self, _peer, arguments):
+        """Confirms only once the versions, the records and their whole chains are on this store's disk."""
         stores = self._check_sender(arguments)
         records = list(zip(arguments.records or [], (ms / 1000 for ms in arguments.left_ms or [])))
         await self.table.merge(arguments.key, from_state(arguments.state), arguments.state.age_ms / 1000, records)
         for packed, _ in records:
-            await self._bring_chain(read_header(packed).turn_id, [self._sender_of(arguments, stores)])
-        self._check_still(stores)
+            await self._ensure_chain(read_header(packed).turn_id, [self._sender_of(arguments, stores)])
+        self._check_epoch_unchanged(stores)
         self.metrics.count("turn_keeps")
         return True
 
-    async def _status(self, _peer, arguments):
+    async def _serve_status(self, _peer, arguments):
         if arguments.record:
-            self._adopt(json.loads(arguments.record))
+            self._adopt_membership(json.loads(arguments.record))
         return json.dumps(
             {
                 "nodeId": self._node.node_id,
@@ -310,101 +314,103 @@
             }
         )
 
-    # --- sweeping ---
+    # --- cleanup ---
 
-    def _cleanup_soon(self):
-        if not self._wake.called:
-            self._wake.callback(None)
+    def _wake_cleanup(self):
+        if not self._cleanup_wakeup.called:
+            self._cleanup_wakeup.callback(None)
 
     async def _wait_and_cleanup(self):
         pause = STORE_CLEANUP if self.covers or not self.is_member else STORE_COPY_PAUSE
-        timer = self._node.reactor.callLater(pause, self._cleanup_soon)
+        timer = self._node.reactor.callLater(pause, self._wake_cleanup)
         try:
-            await self._wake
+            await self._cleanup_wakeup
         finally:
             if timer.active():
                 timer.cancel()
-        self._wake = defer.Deferred()
+        self._cleanup_wakeup = defer.Deferred()
         await self._cleanup()
 
     async def _cleanup(self):
         if not self.is_member or self._ring.broken is not None:
             return
         since = self.stores.since(self._node.node_id)
-        if self._pass_epoch != since:
-            # Only what was read since then counts: before, writes went on that were not sent here.
-            self._pass_epoch, self._covered_from = since, set()
+        if self._copy_epoch != since:
+            # Only copies made since it joined count: earlier writes were not sent to this store.
+            self._copy_epoch, self._copied_from = since, set()
         if since == 1 and not self.covers:
-            await self._cover(since)  # no line is older than the first set, so nothing can be missing
+            # No conversation is older than the first store set, so nothing can be missing.
+            await self._confirm_coverage(since)
         await self.table.drop_records()
-        for key in self.table.old():
-            await self.table.let_go(key)
-        for node_id, peer in self._others().items():
+        for key in self.table.expired_keys():
+            await self.table.drop_expired(key)
+        for node_id, peer in self._other_members().items():
             if self._node.members.condition(node_id) != LIVE:
                 continue
             try:
-                await self._hand_over(node_id, peer)
-                await self._anti_entropy.compare(StoreAddress(node_id, peer))
-                self._covered_from.add(node_id)
+                await self._deliver_hints(node_id, peer)
+                await self._anti_entropy.reconcile(StoreAddress(node_id, peer))
+                self._copied_from.add(node_id)
             except OakrampError as error:
                 self._log.warning("cleanup_failed", member=node_id, reason=error.reason)
-        # Every write quorum of the old set has a member among so many of them.
+        # Every write quorum of the old set includes at least one of this many members.
         needed = len(self.stores.members) - majority(self.stores.members) + 1
-        copied_from = self._covered_from & self.stores.members.keys()
+        copied_from = self._copied_from & self.stores.members.keys()
         if (
             not self.covers
-            and self._pass_epoch == since
+            and self._copy_epoch == since
             and len(copied_from) >= needed
-            and not self.table.is_lacking(copied_from)
+            and not self.table.has_missing_records(copied_from)
         ):
-            await self._cover(since)
+            await self._confirm_coverage(since)
 
-    async def _cover(self, since):
+    async def _confirm_coverage(self, since):
         await self._ring.commit([(COVERS, b"%d" % since)])
         self._covers_since = since
         self._log.info("store_caught_up", since=since, lines=len(self.table.rows))
 
-    async def _hand_over(self, node_id, peer):
+    async def _deliver_hints(self, node_id, peer):
         for key in list(islice(self._hints.get(node_id, ()), CLEANUP_HINTS)):
             if self.table.age(key) >= CONVERSATION_KEPT or key not in self.table.rows:
                 self._hints.get(node_id, {}).pop(key, None)
                 continue
             state = to_state(self.table.versions(key), store_epoch=self.stores.epoch, age=self.table.age(key))
             if key.startswith(TURN_LINE):
-                await self._hand_over_turns(node_id, peer, key, state)
+                await self._offer_turns(node_id, peer, key, state)
             else:
-                await self._give(node_id, peer, key, state)
+                await self._send_conversation(node_id, peer, key, state)
             self.metrics.count("lines_handed_over")
 
-    async def _hand_over_turns(self, node_id, peer, key, state):
-        """The member says which of the line's turns it wants by taking their chains from here."""
-        turn_ids = sorted(self.table.records.on_line(key))
-        await self._give_noted(node_id, peer, "turnOffer", key, state, turn_ids=turn_ids)
+    async def _offer_turns(self, node_id, peer, key, state):
+        """Offers the ids of the conversation's turns; the member fetches the chains that it lacks from this store."""
+        turn_ids = sorted(self.table.records.turn_ids_of(key))
+        await self._send_with_hint(node_id, peer, "turnOffer", key, state, turn_ids=turn_ids)
 
-    async def _turn_offer(self, _peer, arguments):
+    async def _serve_turn_offer(self, _peer, arguments):
         stores = self._check_sender(arguments)
-        await self._anti_entropy.take(self._sender_of(arguments, stores), arguments.turn_ids or [])
+        await self._anti_entropy.fetch_unknown_chains(self._sender_of(arguments, stores), arguments.turn_ids or [])
         await self.table.merge(arguments.key, from_state(arguments.state), arguments.state.age_ms / 1000)
-        self._check_still(stores)
+        self._check_epoch_unchanged(stores)
         self.metrics.count("turn_keeps")
         return True
 
 
-def _clear(disk):
-    """Removes all that a store kept. The mark goes last, so a start after a crash goes on with it."""
+def _remove_all_files(disk):
+    """Removes all files of a store. The marker file goes last, so that a start after a crash resumes the removal."""
     for name in [name for name in disk.names() if name != EMPTYING] + [EMPTYING]:
         disk.remove(name)
 
 
 class StoreNode:
-    """A store whose id has left the set for good starts over with an empty folder and a new id: as a spare."""
+    """The process of a store. A store whose id has been retired from the set starts over as a spare, with an empty
+    folder and a new id."""
 
     def __init__(self, reactor, env, disk, random, sink, wall=time.time):
         self._parts = reactor, env, disk, random, sink, wall
         self._starting_over = None
         self._is_stopping = False
         if EMPTYING in disk.names():
-            _clear(disk)
+            _remove_all_files(disk)
         self._build()
 
     def _build(self):
@@ -423,11 +429,11 @@
         )
         self.node.watch_storage(self.ring)
         self.store = Store(self.node, self.ring)
-        self.node.state_table.watch(STORES_KEY, lambda _source: self._may_start_over())
+        self.node.state_table.watch(STORES_KEY, lambda _source: self._start_over_if_retired())
         self.web = HttpServer(reactor, env["http"], self.node.log, ACCEPT_QUEUE_LIMIT)
         self.web.route("GET", "/condition", self._condition)
         serve_metrics(self.web, self.store.metrics)
-        for name, ask in (
+        for name, read_value in (
             ("lines", lambda: len(self.store.table.rows)),
             ("turns", lambda: len(self.store.table.records)),
             ("hints", self.store.hint_count),
@@ -436,12 +442,14 @@
             ("ring_live_bytes", self.ring.live_bytes),
             ("storage_fault", lambda: int(self.ring.broken is not None)),
         ):
-            self.store.metrics.gauge(name, ask)
+            self.store.metrics.gauge(name, read_value)
 
-    def _may_start_over(self):
+    def _start_over_if_retired(self):
         record = self.store.stores.record
-        is_over = self.node.node_id in record["retired"] and self.node.env["machine"] not in record.get("emptied", ())
-        if is_over and self._starting_over is None and not self._is_stopping:
+        is_retired = self.node.node_id in record["retired"] and self.node.env["machine"] not in record.get(
+            "emptied", ()
+        )
+        if is_retired and self._starting_over is None and not self._is_stopping:
             self._starting_over = spawn(self._start_over(), self.node.log)
 
     async def _start_over(self):
@@ -454,7 +462,7 @@
         self.node.wall_clock.repeater.stop()
         await self.node.net.stop()
         await self.ring.stop()
-        _clear(disk)
+        _remove_all_files(disk)
         self._build()
         self._starting_over = None
         self.start()
@@ -470,26 +478,26 @@
         }
 
     def start(self):
-        """Listens and joins the gossip."""
+        """Starts to listen and joins gossip."""
         self.node.start()
         self.store.start()
         self.web.listen()
 
     async def stop(self):
-        """Gives its place away if it has to leave, finishes calls under way and stops; other nodes are told first."""
+        """Tells other nodes that it is leaving, waits for a spare to replace it, finishes calls in flight and stops."""
         self._is_stopping = True
         if self._starting_over is not None:
             await self._starting_over
-        await self.node.gossip_client.announce_leaving()
-        await self._give_place_away()
+        await self.node.gossip_client.say_leaving()
+        await self._wait_for_replacement()
         await self.web.stop()
         self.store.stop()
         await self.node.stop()
 
-    async def _give_place_away(self):
-        """Serves on until a spare has this member's place, if there is one: it may be here for good that this one ends,
-        and then the next disk may be lost at once."""
+    async def _wait_for_replacement(self):
+        """Keeps serving until a spare has replaced this member, if there is a spare: this store may be stopping for
+        good, and another disk may be lost right after it."""
         store, reactor = self.store, self.node.reactor
-        ends_at = reactor.seconds() + STORES_LEAVING_TIME
-        while reactor.seconds() < ends_at and store.is_member and (store.is_leaving_set or store.has_spare()):
+        deadline = reactor.seconds() + STORES_LEAVING_TIME
+        while reactor.seconds() < deadline and store.is_member and (store.is_leaving_set or store.has_spare()):
             await sleep(reactor, STORES_LEAVING_POLL)
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -88,7 +88,7 @@
     CodeMutation(
         "what the log did not let go is let go later",
         "store/oakramp/store/records.py",
-        "        self._leftovers.update(ended)",
+        "        self._pending_removals.update(expired)",
         "        pass",
         "test_log_recovery.Stores.test_records_that_ended_meanwhile_leave_its_log",
     ),
@@ -1242,14 +1242,14 @@
     CodeMutation(
         "new clock id after letting go",
         "store/oakramp/store/record_table.py",
-        'ConversationRow(f"{self._node_id}#{self._births}"',
+        'ConversationRow(f"{self._node_id}#{self._rows_created}"',
         'ConversationRow(f"{self._node_id}#0"',
         "test_stores.Tables.test_counter_is_not_reused_after_letting_go",
     ),
     CodeMutation(
         "stripping what comes in",
         "store/oakramp/store/record_table.py",
-        "{self._strip(clock): value for clock, value in versions.items()})",
+        "{self._strip_pruned(clock): value for clock, value in versions.items()})",
         "versions)",
         "test_stores.Tables.test_unpruned_replica_does_not_resurrect",
     ),
@@ -1305,7 +1305,7 @@
     CodeMutation(
         "a store that is told to end serves on until a spare has its place",
         "store/oakramp/store/store_node.py",
-        "await self._give_place_away()",
+        "await self._wait_for_replacement()",
         "pass",
         "test_second_loss.ReplacedStore.test_a_stopping_store_serves_until_the_spare_is_complete",
     ),
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -51,7 +51,9 @@
         self.reactor, self.node_id, self.log = SimReactor(self.host), "a", EventLogger(lambda line: None)
         self.table = ConversationTable(self, CircularLog(self.disk, self.log, 1 << 18))
         for number in range(lines):
-            self.table._enter(f"k{number:07d}", ConversationRow("a#1", {VersionVector({"a#1": (0, 1)}): b"x"}, 0.0))
+            self.table._insert_row(
+                f"k{number:07d}", ConversationRow("a#1", {VersionVector({"a#1": (0, 1)}): b"x"}, 0.0)
+            )
 
     def put(self):
         self.table.put("k0000500", frozenset(), b"y")
@@ -65,7 +67,7 @@
     return {
         "put": calls_of(rig.put),
         "page": calls_of(lambda: rig.table.keys_after("k0000300", 256)),
-        "old lines": calls_of(rig.table.old),
+        "old lines": calls_of(rig.table.expired_keys),
         "ids in use": calls_of(rig.table.dots),
     }
 
