--- a/packages/store/oakramp/store/record_table.py
+++ b/packages/store/oakramp/store/record_table.py
@@ -394,7 +394,11 @@
     def retention_s(self):
         """Seconds for which a conversation is retained; shorter when the disk fills up, but always well over the
         required minute."""
-        return CONVERSATION_KEPT if self._ring.live_bytes() < STORE_EARLY_EVICTION_SHARE * self._ring.capacity() else CONVERSATION_KEPT_FULL
+        return (
+            CONVERSATION_KEPT
+            if self._ring.live_bytes() < STORE_EARLY_EVICTION_SHARE * self._ring.capacity()
+            else CONVERSATION_KEPT_FULL
+        )
 
     def is_full(self):
         return self._ring.live_bytes() > STORE_FULL * self._ring.capacity()
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -258,7 +258,9 @@
         if not self.is_member:
             raise StaleEpochError("this store is not in the store set")
         if len(arguments.value) > CONVERSATION_SIZE:
-            raise TooLargeError(f"the turns of a conversation take {len(arguments.value)} bytes, over {CONVERSATION_SIZE}")
+            raise TooLargeError(
+                f"the turns of a conversation take {len(arguments.value)} bytes, over {CONVERSATION_SIZE}"
+            )
         try:
             context_set = from_context(arguments.context)
         except ValueError as error:
