--- a/packages/control/oakramp/control/budget.py
+++ b/packages/control/oakramp/control/budget.py
@@ -260,7 +260,7 @@
     entry, digest = _ended_key(key)
     transaction.put(entry, sorted({*(transaction.get(entry) or ()), digest}))
     transaction.put(key, None)
-    transaction.context.marks.pop(key, None)
+    transaction.context.local_state.pop(key, None)
 
 
 def _is_idle(transaction, key):
--- a/packages/control/oakramp/control/command_context.py
+++ b/packages/control/oakramp/control/command_context.py
@@ -23,16 +23,16 @@
     """The context of one batch of commands.
 
     `now` is the leader's monotonic time in seconds; `bounds` are the deployment's (seconds by name, see
-    oakramp.common.settings). `marks` is not replicated and is lost when the leadership ends: among other state, it maps
-    a key to the time from which its age is counted. `reject_if_full` raises StorageFullError when the storage limit is
-    reached; it is called by commands that grow the state unless they are a repetition.
+    oakramp.common.settings). `local_state` is not replicated and is lost when the leadership ends: among other
+    state, it maps a key to the time from which its age is counted. `reject_if_full` raises StorageFullError when the
+    storage limit is reached; it is called by commands that grow the state unless they are a repetition.
     """
 
     def __init__(
         self,
         now: float,
         members: Members,
-        marks: dict[str, Any],
+        local_state: dict[str, Any],
         voting_config: VotingConfiguration | None,
         state_table: StateTable,
         bounds: dict[str, float] | None = None,
@@ -41,7 +41,7 @@
     ) -> None:
         self.now = now
         self.members = members
-        self.marks = marks
+        self.local_state = local_state
         self.voting_config = voting_config
         self.state_table = state_table
         self.bounds = bounds or {}
@@ -49,12 +49,12 @@
         self._contact = contact
 
     def age_of(self, key: str) -> float:
-        """Seconds since the key's start time in `marks`; a key without one gets the present time."""
-        return self.now - self.marks.setdefault(key, self.now)
+        """Seconds since the key's start time in `local_state`; a key without one gets the present time."""
+        return self.now - self.local_state.setdefault(key, self.now)
 
     def touch(self, key: str) -> None:
         """Restarts the count of the key's age."""
-        self.marks[key] = self.now
+        self.local_state[key] = self.now
 
     def refusal(self, error: OakrampError) -> OakrampError:
         """The error to raise when a command is refused because members have been silent.
--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -79,7 +79,7 @@
         self._registry.contact.poll(hears_majority)
         is_reachable = voting_config.is_quorum(answering & self._asking_voters())
         is_partitioned = not hears_majority or not (is_reachable or self._has_just_started())
-        if self._node.node_id not in voting_config.everyone:
+        if self._node.node_id not in voting_config.all_members:
             # A non-member needs no majority; if it reported itself as partitioned, it would not be admitted again.
             self._report_partitioned(False)
             for leader in list(self._registry.active.values()):
@@ -293,7 +293,7 @@
     def _asking_voters(self) -> set[str]:
         """Node ids of the voters from which this node has recently received gossip requests."""
         return {
-            node_id for node_id in self._voter.voting_config.everyone if self._node.gossip_client.was_pulled_by(node_id)
+            node_id for node_id in self._voter.voting_config.all_members if self._node.gossip_client.was_pulled_by(node_id)
         }
 
     def _report_partitioned(self, is_partitioned: bool) -> None:
@@ -336,7 +336,7 @@
     async def _ask_release(self, shard: int) -> int | None:
         """Asks the known leader to release the shard; returns the released epoch, or None if it was not released."""
         known = self._live_leader(shard)
-        if known is None or known.node_id not in self._voter.voting_config.everyone:
+        if known is None or known.node_id not in self._voter.voting_config.all_members:
             return None
         try:
             return await self._node.net.call(known.address, "release", RELEASE_TIME, shard=shard)
--- a/packages/control/oakramp/control/idempotency.py
+++ b/packages/control/oakramp/control/idempotency.py
@@ -72,7 +72,7 @@
 def _cleanup(transaction, key, _arguments):
     if transaction.context.age_of(key) > _retention_s(transaction.context):
         transaction.put(key, None)
-        transaction.context.marks.pop(key, None)
+        transaction.context.local_state.pop(key, None)
 
 
 CONTROLLERS.enter("claim")(
--- a/packages/control/oakramp/control/leader_registry.py
+++ b/packages/control/oakramp/control/leader_registry.py
@@ -106,7 +106,7 @@
         return CommandContext(
             self.reactor.seconds(),
             self._node.members,
-            leader.marks,
+            leader.local_state,
             self._voter.voting_config,
             self._node.state_table,
             self._node.env.get("bounds"),
@@ -118,7 +118,7 @@
         """The address of each voter by node id: the one that the member announces, if it is known, or else the one in
         the voting configuration."""
         addresses = {}
-        for node_id, configured in self._voter.voting_config.everyone.items():
+        for node_id, configured in self._voter.voting_config.all_members.items():
             member = self._node.members.find(node_id)
             addresses[node_id] = member.peer if member else configured
         return addresses
--- a/packages/control/oakramp/control/lease.py
+++ b/packages/control/oakramp/control/lease.py
@@ -119,7 +119,7 @@
         """Asks all voters to confirm the leases of these leaders."""
         if leaders:
             round_ = LeaseRound(leaders, self._voter.voting_config, self._reactor.seconds())
-            self.confirm_at(round_, round_.voting_config.everyone)
+            self.confirm_at(round_, round_.voting_config.all_members)
 
     def confirm_at(self, round_: LeaseRound, voter_ids: Collection[str]) -> None:
         """Asks each of these voters to confirm, in a separate call."""
--- a/packages/control/oakramp/control/lease_expiry.py
+++ b/packages/control/oakramp/control/lease_expiry.py
@@ -59,15 +59,15 @@
         """Whether a majority has answered this node within SUSPECT_SILENCE. If not, this process may have been frozen
         itself, and that it has received nothing from the others proves nothing."""
         voting_config = self._voter.voting_config
-        if voting_config is None or self._node.node_id not in voting_config.everyone:
+        if voting_config is None or self._node.node_id not in voting_config.all_members:
             return False
-        return voting_config.is_quorum({node_id for node_id in voting_config.everyone if self._answers(node_id)})
+        return voting_config.is_quorum({node_id for node_id in voting_config.all_members if self._answers(node_id)})
 
     async def _ask_majority(self, shards):
         """Shard -> seconds for which every voter of a majority has confirmed no lease; 0 if no majority answered."""
         reached, answers = await quorum_of(
             self._registry.ask_voters(
-                "unconfirmed", self._voter.voting_config.everyone, EXPIRY_QUERY_TIME, shards=shards
+                "unconfirmed", self._voter.voting_config.all_members, EXPIRY_QUERY_TIME, shards=shards
             ),
             self._voter.voting_config.is_quorum,
         )
--- a/packages/control/oakramp/control/membership_repair.py
+++ b/packages/control/oakramp/control/membership_repair.py
@@ -119,7 +119,9 @@
         await self._adopt_published()
         voting_config = self._voter.voting_config
         if voting_config is not None:
-            present = {node_id for node_id, peer in voting_config.everyone.items() if self._is_present(node_id, peer)}
+            present = {
+                node_id for node_id, peer in voting_config.all_members.items() if self._is_present(node_id, peer)
+            }
             self.margin.poll(voting_config, present)
         if self._self_forming and voting_config is not None:
             self._watch_members(voting_config)
@@ -280,6 +282,7 @@
                 raise QuorumUnavailableError(f"{node_id} is in version {version}")
 
         reached, _ = await quorum_of(
-            {node_id: ask(node_id, peer) for node_id, peer in voting_config.everyone.items()}, voting_config.is_quorum
+            {node_id: ask(node_id, peer) for node_id, peer in voting_config.all_members.items()},
+            voting_config.is_quorum,
         )
         return reached
--- a/packages/control/oakramp/control/plan.py
+++ b/packages/control/oakramp/control/plan.py
@@ -145,12 +145,12 @@
 
 
 def _current(transaction, key, head):
-    cached = transaction.context.marks.get(f"memo/{key}") if transaction.context else None
+    cached = transaction.context.local_state.get(f"memo/{key}") if transaction.context else None
     if cached and cached[0] == head["version"]:
         return cached[1]
     blueprint = _plan_at(transaction, key, head["version"], head["base"])
     if transaction.context:
-        transaction.context.marks[f"memo/{key}"] = (head["version"], blueprint)
+        transaction.context.local_state[f"memo/{key}"] = (head["version"], blueprint)
     return blueprint
 
 
@@ -224,7 +224,7 @@
     head = {"version": version, "base": version if is_base else head["base"], "first": head["first"] or 1}
     transaction.put(key, _pruned(transaction, key, head))
     previous = _current(transaction, key, previous) if previous["version"] else {"bindings": {}}
-    transaction.context.marks[f"memo/{key}"] = (version, blueprint)
+    transaction.context.local_state[f"memo/{key}"] = (version, blueprint)
     return {"outcome": "accepted", "version": version, "warnings": _warnings(transaction, previous, blueprint)}
 
 
--- a/packages/control/oakramp/control/prefix_placement.py
+++ b/packages/control/oakramp/control/prefix_placement.py
@@ -29,7 +29,7 @@
 
 PLACEMENT_KEY = "placement"
 ROWS = f"{PLACEMENT_KEY}#"
-WINDOWS_MARK, FINDINGS_MARK = "placement windows", "placement shown"
+WINDOWS_KEY, FINDINGS_KEY = "placement windows", "placement shown"
 NUMBER_LIMIT = 1 << 53
 
 
@@ -81,7 +81,7 @@
 
 def _add_report(transaction, key, arguments):
     check_fields({"gate": str, "number": whole(0, NUMBER_LIMIT), "services": dict}, arguments)
-    windows = transaction.context.marks.setdefault(WINDOWS_MARK, {})
+    windows = transaction.context.local_state.setdefault(WINDOWS_KEY, {})
     for service, report in arguments["services"].items():
         check_fields(REPORT, report)
         windows.setdefault(service, Window()).add(
@@ -107,7 +107,7 @@
     return {
         "version": (transaction.get(key) or {"version": 0})["version"],
         "services": _rows(transaction),
-        "findings": transaction.context.marks.get(FINDINGS_MARK, {}),
+        "findings": transaction.context.local_state.get(FINDINGS_KEY, {}),
     }
 
 
@@ -168,10 +168,10 @@
         if leader is not self._decided_leader:
             self._decisions, self._decided_leader, self._logged = {}, leader, {}
         now = self._node.reactor.seconds()
-        windows = leader.marks.get(WINDOWS_MARK, {})
+        windows = leader.local_state.get(WINDOWS_KEY, {})
         rows = (await leader.do(PLACEMENT_KEY, "read", {}))["services"]
         ready = self._ready_replicas() if windows or rows else {}
-        leader.marks[FINDINGS_MARK] = {}
+        leader.local_state[FINDINGS_KEY] = {}
         for service in sorted(windows.keys() | rows.keys()):
             await self._place_service(
                 leader, service, windows.setdefault(service, Window()), rows.get(service), ready.get(service, []), now
@@ -191,14 +191,14 @@
     async def _place_service(self, leader, service, window, row, replicas, now):
         loads, flow = window.loads(now)
         if not loads and row is None:
-            del leader.marks[WINDOWS_MARK][service]
+            del leader.local_state[WINDOWS_KEY][service]
             self._decisions.pop(service, None)
             return
         previous = row["tenants"] if row else {}
         outcome = self._decisions.setdefault(service, Decision()).next(
             loads, flow, window.cache_tokens, replicas, previous
         )
-        leader.marks[FINDINGS_MARK][service] = findings_shown(outcome)
+        leader.local_state[FINDINGS_KEY][service] = findings_shown(outcome)
         self._log_findings(service, outcome)
         if outcome.rows != previous or (row and row["mode"] != self.mode):
             await leader.do(PLACEMENT_KEY, "set", {"service": service, "mode": self.mode, "tenants": outcome.rows})
--- a/packages/control/oakramp/control/prepare_phase.py
+++ b/packages/control/oakramp/control/prepare_phase.py
@@ -30,13 +30,13 @@
     def _possible_lease_holders(self):
         """Node ids that may hold a lease: all of the voting configuration, except those whose process is known to have
         ended."""
-        return self._voter.voting_config.everyone.keys() - self._holders_with_ended_process()
+        return self._voter.voting_config.all_members.keys() - self._holders_with_ended_process()
 
     def _holders_with_ended_process(self):
         """Members of the voting configuration at whose address another process now listens."""
         return {
             node_id
-            for node_id, peer in self._voter.voting_config.everyone.items()
+            for node_id, peer in self._voter.voting_config.all_members.items()
             if self._node.members.successor_of(node_id, peer) is not None
         }
 
--- a/packages/control/oakramp/control/quorum_margin.py
+++ b/packages/control/oakramp/control/quorum_margin.py
@@ -35,7 +35,7 @@
             self._degraded_since = now
         if not self._is_logged and now - self._degraded_since >= QUORUM_DEGRADED_AFTER:
             self._is_logged = True
-            absent = sorted(voting_config.everyone.keys() - present)
+            absent = sorted(voting_config.all_members.keys() - present)
             self._log.warning("quorum_degraded", losses_left=self.losses_left, absent=",".join(absent))
 
     def degraded_s(self) -> float:
--- a/packages/control/oakramp/control/replica_ordering.py
+++ b/packages/control/oakramp/control/replica_ordering.py
@@ -111,7 +111,7 @@
     async def _work(self, leader: ShardLeader) -> None:
         if leader is not self._leader:
             self._leader, self._sizings = leader, {}
-        gateways, demand = demand_in(leader.marks, self._node.reactor.seconds())
+        gateways, demand = demand_in(leader.local_state, self._node.reactor.seconds())
         if not self._view.is_fresh():
             return
         known = orders_in(leader.entries)
--- a/packages/control/oakramp/control/replica_orders.py
+++ b/packages/control/oakramp/control/replica_orders.py
@@ -8,8 +8,8 @@
 - an order that was sent to the platform is in its row, so that a new leader repeats it unchanged or continues from it;
 - a row with `accepted` set has been accepted by the platform with this number.
 
-The demand that gateways report is not replicated: it is kept in the leader's memory (`marks`), and gateways report it
-again within seconds.
+The demand that gateways report is not replicated: it is kept in the leader's memory (`local_state`), and gateways
+report it again within seconds.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 ORDERS_KEY = "replicaOrders"
 ORDER_ROWS = f"{ORDERS_KEY}#order/"
 AFTER_ORDER_ROWS = ORDER_ROWS[:-1] + chr(ord("/") + 1)
-DEMAND_MARK = "replica demand"  # by gateway: (arrival time, number, active and refused requests by service)
+DEMAND_KEY = "replica demand"  # by gateway: (arrival time, number, active and refused requests by service)
 DEMAND_AGE = 3.0  # s; the report of a gateway that has been silent for longer no longer counts
 NUMBER_LIMIT = 1 << 53
 NAME_STRING: Any = And(str, len, error="must be a name")
@@ -55,13 +55,13 @@
     return {(row["service"], row["zone"]): row for row in rows}
 
 
-def demand_in(marks: dict[str, Any], now: float) -> tuple[int, Counter[str]]:
+def demand_in(local_state: dict[str, Any], now: float) -> tuple[int, Counter[str]]:
     """(number of gateways with a recent report, requests by service), from the reports to this leader.
 
     Refused requests count at most as many as the active ones: their callers retry, and each retry is counted again.
     """
     active, refused = Counter[str](), Counter[str]()
-    recent = [report for report in marks.get(DEMAND_MARK, {}).values() if now - report[0] <= DEMAND_AGE]
+    recent = [report for report in local_state.get(DEMAND_KEY, {}).values() if now - report[0] <= DEMAND_AGE]
     for _, _, active_here, refused_here in recent:
         active.update(active_here)
         refused.update(refused_here)
@@ -78,7 +78,7 @@
     check_fields(DEMAND, arguments)
     active, refused = _counts(arguments["active"]), _counts(arguments["refused"])
     context = transaction.context
-    reports = context.marks.setdefault(DEMAND_MARK, {})
+    reports = context.local_state.setdefault(DEMAND_KEY, {})
     for gateway in [gateway for gateway, report in reports.items() if context.now - report[0] > DEMAND_AGE]:
         del reports[gateway]
     gateway = arguments["gateway"]
@@ -152,7 +152,7 @@
 def _read(transaction: Transaction, _key: str, _arguments: dict[str, Any]) -> dict[str, Any]:
     """For operators: all orders, and the current demand."""
     context = transaction.context
-    gateways, demand = demand_in(context.marks, context.now)
+    gateways, demand = demand_in(context.local_state, context.now)
     return {"orders": list(_rows(transaction)), "gatewaysHeard": gateways, "demand": dict(demand)}
 
 
--- a/packages/control/oakramp/control/replication.py
+++ b/packages/control/oakramp/control/replication.py
@@ -121,7 +121,7 @@
 
     def __init__(self, voting_config, ends_at):
         self._voting_config, self.ends_at = voting_config, ends_at
-        self._taken_by, self._pending, self._errors = set(), set(voting_config.everyone), {}
+        self._taken_by, self._pending, self._errors = set(), set(voting_config.all_members), {}
         self.outcome = defer.Deferred()
 
     def settle(self, node_id, error=None):
@@ -141,7 +141,7 @@
 
     def unconfirmed_by(self):
         """Node ids of the voters that have not confirmed the change, in order."""
-        return sorted(self._voting_config.everyone.keys() - self._taken_by)
+        return sorted(self._voting_config.all_members.keys() - self._taken_by)
 
     def fail(self, node_id, error):
         """Fails the proposal at once, regardless of the answers that are still pending."""
--- a/packages/control/oakramp/control/shard_client.py
+++ b/packages/control/oakramp/control/shard_client.py
@@ -143,7 +143,7 @@
     an attempt that was sent may still take effect."""
 
     def __init__(self, node, voter, leaders, client):
-        self._node, self._voter, self._owners, self._client = node, voter, leaders, client
+        self._node, self._voter, self._leaders, self._client = node, voter, leaders, client
 
     async def call(self, key, command, arguments, time_left):
         """Runs a command at the key's leader within `time_left` seconds, on behalf of an operator. Raises
@@ -184,7 +184,7 @@
         voting_config = self._voter.voting_config
         if voting_config is None:
             return False
-        addresses = self._owners.voter_addresses()
+        addresses = self._leaders.voter_addresses()
         return await majority_answers(self._node, addresses, voting_config, wait_s=self._majority_wait(addresses))
 
     def _majority_wait(self, voter_addresses):
--- a/packages/control/oakramp/control/shard_leader.py
+++ b/packages/control/oakramp/control/shard_leader.py
@@ -57,7 +57,7 @@
         self.confirmed: defer.Deferred[None] = defer.Deferred()  # fires with the first lease
         self.ended = False
         self.idle = True
-        self.marks: dict[str, Any] = {}  # state of commands that is not replicated and ends with the leadership
+        self.local_state: dict[str, Any] = {}  # state of commands that is not replicated and ends with the leadership
         self.progress = ShardProgress(epoch)
         self._task = None
 
--- a/packages/control/oakramp/control/shard_replicator.py
+++ b/packages/control/oakramp/control/shard_replicator.py
@@ -80,7 +80,7 @@
             voting_config = self._voter.voting_config
             change = ShardChange(leader, voting_config.version, sequence, changes, start)
             proposal = Proposal(voting_config, ends_at)
-            reached, errors = await self._propose(proposal, change, voting_config.everyone)
+            reached, errors = await self._propose(proposal, change, voting_config.all_members)
             self._log_if_slow(leader, proposal, began_at)
             if reached:
                 leader.voting_config_version = voting_config.version
--- a/packages/control/oakramp/control/store_membership.py
+++ b/packages/control/oakramp/control/store_membership.py
@@ -90,7 +90,7 @@
             else {node_id: row for node_id, row in self.members.items() if node_id != record["leaving"]}
             | {joining["nodeId"]: joining}
         )
-        self.everyone = self.members | self.next_members
+        self.all_members = self.members | self.next_members
         self.readers = self.next_members if self.phase == MOVING else self.members
         self.write_sets = [self.members] + ([self.next_members] if joining else [])
         self.pruned = frozenset(record["pruned"])
@@ -106,7 +106,7 @@
         return all(len(node_ids & member_ids.keys()) >= majority(member_ids) for member_ids in self.write_sets)
 
     def since(self, node_id):
-        return self.everyone[node_id]["since"]
+        return self.all_members[node_id]["since"]
 
 
 def majority(members):
@@ -231,7 +231,7 @@
 def _check_known(transaction, record, machine):
     members = transaction.context.members
     if machine in record.get("emptied", ()) or machine in {
-        machine_of(members, node_id) for node_id in StoreMembership(record).everyone
+        machine_of(members, node_id) for node_id in StoreMembership(record).all_members
     }:
         return
     if not any(member.machine == machine and member.kind == "store" for member, _ in members.newest().values()):
@@ -244,7 +244,7 @@
     record, machine = _record(transaction), arguments["machine"]
     _check_known(transaction, record, machine)
     is_in = machine in {
-        machine_of(transaction.context.members, node_id) for node_id in StoreMembership(record).everyone
+        machine_of(transaction.context.members, node_id) for node_id in StoreMembership(record).all_members
     }
     is_emptied = machine in record.get("emptied", ()) and not is_in
     return {"state": "delivered" if is_emptied else "in_service"}
@@ -356,7 +356,7 @@
         self._watched_at = now
         self._silent_since = {
             node_id: self._silent_since.get(node_id, now)
-            for node_id, row in stores.everyone.items()
+            for node_id, row in stores.all_members.items()
             if not self._is_present(node_id, row)
         }
         if self._first_seen_at is None and self._node.members.live("store"):
@@ -464,7 +464,9 @@
             node_id: successor
             for node_id, row in stores.members.items()
             for successor in [self._successor_of(node_id, row)]
-            if successor is not None and successor.machine not in emptied and successor.node_id not in stores.everyone
+            if successor is not None
+            and successor.machine not in emptied
+            and successor.node_id not in stores.all_members
         }
         spares = self._spares(record, stores, successors)
         leaving, joining = record["leaving"], record["joining"]
@@ -504,7 +506,9 @@
 
     def _spares(self, record, stores, successors):
         taken = (
-            {successor.node_id for successor in successors.values()} | stores.everyone.keys() | set(record["retired"])
+            {successor.node_id for successor in successors.values()}
+            | stores.all_members.keys()
+            | set(record["retired"])
         )
         return [
             one
@@ -541,7 +545,7 @@
                 raise QuorumUnavailableError(f"{node_id} has not reached this phase yet")
 
         is_adopted, _ = await quorum_of(
-            {node_id: ask(node_id, row) for node_id, row in stores.everyone.items()},
+            {node_id: ask(node_id, row) for node_id, row in stores.all_members.items()},
             lambda node_ids: stores.is_written(node_ids) and (copying is None or copying in node_ids),
         )
         return is_adopted
@@ -577,10 +581,10 @@
         except OakrampError as error:
             return {"unanswered": error.reason}
 
-    answers = await settled([ask(row) for row in stores.everyone.values()])
+    answers = await settled([ask(row) for row in stores.all_members.values()])
     return record | {
         "stores": [
             row | {"condition": node.members.condition(node_id), "status": status}
-            for (node_id, row), (_, status) in zip(stores.everyone.items(), answers)
+            for (node_id, row), (_, status) in zip(stores.all_members.items(), answers)
         ]
     }
--- a/packages/control/oakramp/control/token_budget.py
+++ b/packages/control/oakramp/control/token_budget.py
@@ -109,7 +109,7 @@
         return
     if not row["open"] and context.age_of(key) > ALLOWANCE_KEPT:
         transaction.put(key, None)
-        context.marks.pop(key, None)
+        context.local_state.pop(key, None)
         return
     absence_marks = {
         gate: f"{key}#gone/{gate}" for _, gate in row["open"].values() if context.members.find(gate) is None
@@ -121,7 +121,7 @@
     if expired:
         _put(transaction, key, row)
     for gate in gone:
-        context.marks.pop(absence_marks[gate], None)
+        context.local_state.pop(absence_marks[gate], None)
 
 
 CONTROLLERS.enter("allowance")(
--- a/packages/control/oakramp/control/usage.py
+++ b/packages/control/oakramp/control/usage.py
@@ -10,8 +10,8 @@
 - a count is in the total of its window, or it arrived after the close and is dropped;
 - counts are cumulative for a gateway and window, so that a message that is repeated or out of order changes nothing.
 
-The wall times that gateways report are not replicated: they are kept in the leader's memory (`marks`), and gateways
-report them again within seconds.
+The wall times that gateways report are not replicated: they are kept in the leader's memory (`local_state`), and
+gateways report them again within seconds.
 """
 
 from __future__ import annotations
@@ -59,9 +59,9 @@
     return int(row.split("/")[1])
 
 
-def clocks_in(marks: dict[str, Any]) -> ReportedClocks:
+def clocks_in(local_state: dict[str, Any]) -> ReportedClocks:
     """The wall clocks that were reported to this leader."""
-    clocks: ReportedClocks = marks.setdefault(CLOCKS_KEY, ReportedClocks())
+    clocks: ReportedClocks = local_state.setdefault(CLOCKS_KEY, ReportedClocks())
     return clocks
 
 
@@ -80,7 +80,7 @@
     windows = {_parse_window(text): _check_counts(counts) for text, counts in arguments["windows"].items()}
     context = transaction.context
     is_stable = context.age_of(key) >= USAGE_CLOCKS_SETTLE
-    clocks = clocks_in(context.marks)
+    clocks = clocks_in(context.local_state)
     if "time" in arguments:
         clocks.report(arguments["gateway"], arguments["time"], context.now)
     answer = {"time": clocks.time(context.now) if is_stable else None, "settled": is_stable}
@@ -175,7 +175,7 @@
         "owed": owed[:USAGE_OWED_SHOWN],
         "owedCount": len(owed),
         "heldFor": round(context.age_of(key), 3),
-        "deliveredAge": round(context.age_of(delivered_key), 3) if delivered_key in context.marks else None,
+        "deliveredAge": round(context.age_of(delivered_key), 3) if delivered_key in context.local_state else None,
     }
 
 
--- a/packages/control/oakramp/control/usage_report.py
+++ b/packages/control/oakramp/control/usage_report.py
@@ -58,7 +58,7 @@
     def _cluster_time(self, leader: ShardLeader) -> float:
         """The median wall time of this node and the gateways; this node's own if too few gateways report theirs."""
         now, own = self._node.reactor.seconds(), self._clock.now()
-        clocks = clocks_in(leader.marks)
+        clocks = clocks_in(leader.local_state)
         clocks.report(self._node.node_id, own, now)
         cluster = clocks.time(now)
         return own if cluster is None else cluster
--- a/packages/control/oakramp/control/voter.py
+++ b/packages/control/oakramp/control/voter.py
@@ -208,7 +208,7 @@
             self._log.info(
                 "voting_configuration_stored",
                 version=self.voting_config.version,
-                members=len(self.voting_config.everyone),
+                members=len(self.voting_config.all_members),
             )
             for callback in list(self.on_voting_config):
                 callback()
@@ -253,7 +253,7 @@
     def _check_voting_config(self, peer, version):
         if self.has_storage_fault:
             raise StaleEpochError("this node's disk has failed")
-        if self.voting_config is None or self._node_id not in self.voting_config.everyone:
+        if self.voting_config is None or self._node_id not in self.voting_config.all_members:
             raise StaleEpochError(
                 "this node is not a voter", detail={"roster": self.voting_config.version if self.voting_config else 0}
             )
@@ -262,7 +262,7 @@
                 f"voting configuration version {version} is not {self.voting_config.version}",
                 detail={"roster": self.voting_config.version},
             )
-        if peer.node_id not in self.voting_config.everyone:
+        if peer.node_id not in self.voting_config.all_members:
             raise StaleEpochError(f"{peer.node_id} is not in the voting configuration")
 
     async def _prepare(self, table, peer, arguments):
--- a/packages/control/oakramp/control/voting_configuration.py
+++ b/packages/control/oakramp/control/voting_configuration.py
@@ -43,7 +43,7 @@
     def __init__(self, record):
         self.record, self.version = record, record["version"]
         self.members, self.next = record["members"], record.get("next")
-        self.everyone = self.members | (self.next or {})
+        self.all_members = self.members | (self.next or {})
         self.leader_candidates = self.next or self.members  # a leaving member hands its shards over early
 
     def is_quorum(self, node_ids):
--- a/packages/gateway/oakramp/gateway/bindings.py
+++ b/packages/gateway/oakramp/gateway/bindings.py
@@ -59,9 +59,9 @@
     def staleness(self, partner):
         """The reason why a request of this partner may not be forwarded now, or None."""
         if gossiped_plan(self._state_table, partner)[0] > BLUEPRINT_AGE:
-            return "the blueprint's news is too old"
+            return "the blueprint is too old"
         if self._state_table.age(REPLICAS_KEY) > REPLICA_AGE:
-            return "the replicas' news is too old"
+            return "the replica list is too old"
         return None
 
     async def wait_until_fresh(self, partner, ends_at):
--- a/packages/gateway/oakramp/gateway/forwarding.py
+++ b/packages/gateway/oakramp/gateway/forwarding.py
@@ -17,8 +17,8 @@
 
 
 class Forwarder:
-    def __init__(self, node, bindings, placer, web_client, metrics):
-        self._node, self._bindings, self._placer = node, bindings, placer
+    def __init__(self, node, bindings, load_balancer, web_client, metrics):
+        self._node, self._bindings, self._load_balancer = node, bindings, load_balancer
         self._client, self._metrics = web_client, metrics
 
     async def forward(self, request, may_repeat, send):
@@ -37,7 +37,7 @@
                 return await send(replica, lambda: self._check_before_send(request, replica))
             except OakrampError as error:
                 if error.verdict is Verdict.NO:
-                    self._placer.refused(replica)
+                    self._load_balancer.refused(replica)
                 self._metrics.count("carry_failed", verdict=error.verdict.value)
                 if attempt == FORWARD_ATTEMPTS - 1 or not self._may_retry(request, may_repeat, error):
                     raise _keep_ambiguous(ambiguous_error, error) from error
@@ -51,7 +51,7 @@
                     verdict=error.verdict.value,
                 )
             finally:
-                self._placer.release(replica, placed_at)
+                self._load_balancer.release(replica, placed_at)
 
     def _may_retry(self, request, may_repeat, error):
         return error.verdict is Verdict.NO or (
@@ -71,7 +71,7 @@
             request.bind(binding)
             request.remaining(self._node.reactor.seconds())
             try:
-                replica = await self._placer.place(
+                replica = await self._load_balancer.place(
                     PlacementRequest(
                         request.partner,
                         binding["pool"],
@@ -93,23 +93,27 @@
                     raise DeadlineExceededError("the client disconnected")
                 current = self._current_binding(request)
             except OakrampError:
-                self._placer.release(replica, placed_at)
+                self._load_balancer.release(replica, placed_at)
                 raise
-            if current == binding and replica.row["state"] == "ready" and replica.row["id"] in self._placer.replicas:
+            if (
+                current == binding
+                and replica.row["state"] == "ready"
+                and replica.row["id"] in self._load_balancer.replicas
+            ):
                 return replica
-            self._placer.release(replica, placed_at)
+            self._load_balancer.release(replica, placed_at)
 
     def _check_before_send(self, request, replica):
         """Runs once the connection is open and before anything is written, so that the checks hold at that moment."""
         reason = self._bindings.staleness(request.partner)
         if reason is not None:
             raise OverloadedError(reason, retry_after=1)
-        if replica.row["state"] != "ready" or replica.row["id"] not in self._placer.replicas:
+        if replica.row["state"] != "ready" or replica.row["id"] not in self._load_balancer.replicas:
             raise OverloadedError("the replica is leaving or no longer listed", retry_after=1)
         if self._current_binding(request) != request.binding:
             raise OverloadedError("the binding was replaced before the request was sent", retry_after=1)
         request.remaining(self._node.reactor.seconds())
-        request.is_sent = True
+        request.may_have_run = True
 
 
 def _keep_ambiguous(ambiguous_error, error):
--- a/packages/gateway/oakramp/gateway/plain.py
+++ b/packages/gateway/oakramp/gateway/plain.py
@@ -28,7 +28,7 @@
 class PlainCalls:
     def __init__(self, gate):
         self._gate, self._node, self._reactor = gate, gate.node, gate.node.reactor
-        self._bindings, self._owners, self._forwarder = gate.bindings, gate.leaders, gate.forwarder
+        self._bindings, self._leaders, self._forwarder = gate.bindings, gate.leaders, gate.forwarder
         self._run = chain([self._bind, self._claim], self._forward)
 
     async def post(self, call):
@@ -74,12 +74,14 @@
         arguments = request.admission | {"print": fingerprint_of([request.binding_name, request.body["body"]])}
 
         def send_later(command, **more):
-            self._gate.background(self._owners.call_until_done(claim_key, command, arguments | more))
+            self._gate.background(self._leaders.call_until_done(claim_key, command, arguments | more))
 
         # The owner counts from the arrival of the claim, so this deadline is the earlier of the two.
         request.send_by = self._reactor.seconds() + CLAIM_SEND_TIME
         try:
-            claimed = await self._owners.call(claim_key, "claim", arguments, request.remaining(self._reactor.seconds()))
+            claimed = await self._leaders.call(
+                claim_key, "claim", arguments, request.remaining(self._reactor.seconds())
+            )
         except OutcomeUnknownError as error:
             send_later("free")  # the key may be claimed, but the call will not be sent
             raise DeadlineExceededError(f"the claim's owner did not answer: {error.reason}", retry_after=1) from error
--- a/packages/gateway/oakramp/gateway/prefix_placement.py
+++ b/packages/gateway/oakramp/gateway/prefix_placement.py
@@ -17,7 +17,7 @@
 class PrefixPlacement:
     def __init__(self, node, leaders, metrics, cache_tokens_of):
         """`cache_tokens_of(service)` returns the size of a replica's prefix cache in tokens, or None if unknown."""
-        self._node, self._owners, self._metrics, self._cache_tokens_of = node, leaders, metrics, cache_tokens_of
+        self._node, self._leaders, self._metrics, self._cache_tokens_of = node, leaders, metrics, cache_tokens_of
         self._counters, self._plans = {}, {}
         self._number = 0
         self._repeater = Repeater(node.reactor, EVICTION_ROUND, self.report, node.log)
@@ -79,7 +79,7 @@
         if not services or self._is_off:
             return
         self._number += 1
-        await self._owners.call(
+        await self._leaders.call(
             PLACEMENT_KEY,
             "report",
             {"gate": self._node.node_id, "number": self._number, "services": services},
--- a/packages/gateway/oakramp/gateway/proxy_forwarder.py
+++ b/packages/gateway/oakramp/gateway/proxy_forwarder.py
@@ -103,7 +103,7 @@
             return False  # the relayed part of the response has no known point to resume from
         return error.verdict is Verdict.NO or proxied_request.may_repeat
 
-    def check_may_begin(self, proxied_request):
+    def check_program_admission(self, proxied_request):
         """Rejects a program at its first turn, before it has used any resources, if no replica has capacity for another
         program and waiting would not help."""
         if not proxied_request.begins_program or self._programs.reserved_share < 1.0:
@@ -264,7 +264,7 @@
             raise ClientDisconnectedError("the client disconnected before the response arrived", verdict) from None
         finally:
             self._balancer.outliers.request_ended(sent)
-        metadata = self._dialect.answer_of(response.status, response.headers)
+        metadata = self._dialect.response_metadata(response.status, response.headers)
         if metadata.load is not None:
             self._balancer.record_load(instance, metadata.load)
         if metadata.not_run:
@@ -273,7 +273,7 @@
             raise OverloadedError(
                 f"the replica rejected the request with status {response.status}", retry_after=RETRY_AFTER_MIN
             )
-        if response.status in self._dialect.promise_statuses:
+        if response.status in self._dialect.not_run_statuses:
             response.abort()
             raise IncompleteResponseError(
                 f"the replica responded {response.status} without a guarantee that the request did not run",
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -109,19 +109,19 @@
             return "the replica list is too old"
         return None
 
-    def why_not_ready(self):
+    def not_ready_reason(self):
         if self.stopping:
             return "stopping"
-        return self.router.why_not_ready() or self.replicas_staleness()
+        return self.router.not_ready_reason() or self.replicas_staleness()
 
     async def _ready(self, _call):
-        reason = self.why_not_ready()
+        reason = self.not_ready_reason()
         if reason is not None:
             raise QuorumUnavailableError(reason)
         return 200, {"condition": "ready"}
 
     async def _condition(self, _call):
-        reason = self.why_not_ready()
+        reason = self.not_ready_reason()
         return 200, self.node.condition() | {
             "condition": reason or "ready",
             "routing": self.router.version,
--- a/packages/gateway/oakramp/gateway/proxy_streams.py
+++ b/packages/gateway/oakramp/gateway/proxy_streams.py
@@ -31,7 +31,7 @@
     async def serve(self, proxied_request):
         request, route = proxied_request.request, proxied_request.route
         pending_history = None
-        self._forwarder.check_may_begin(proxied_request)
+        self._forwarder.check_program_admission(proxied_request)
         if route.retained and self._turn_client.is_full:
             # Checked before the turn runs: afterwards the response could only be cut off.
             raise OverloadedError("the stores are full until old turns expire", retry_after=FULL_RETRY_AFTER)
--- a/packages/gateway/oakramp/gateway/request.py
+++ b/packages/gateway/oakramp/gateway/request.py
@@ -13,10 +13,11 @@
     """A request and its deadlines.
 
     It may wait to be sent until `wait_until` (the binding's limit, and `send_by`, after which its reservation or claim
-    may be dropped), and may run until `ends_at` (the caller's limit). Invariants: `wait_until` <= `ends_at`; all that a
+    may be dropped), and may run until `ends_at` (the client's limit). Invariants: `wait_until` <= `ends_at`; all that a
     plan decides is read from `binding` when it is needed; `admitted_under` holds the terms of the binding under which
-    the budget's owner admitted the turn, None before; `admission` is new for each time that a gate asks for admission,
-    so that the attempts can be told apart; `is_sent` becomes true before the first byte may reach a replica."""
+    the budget's shard leader admitted the turn, None before; `admission` is new for each time that a gateway asks for
+    admission, so that the attempts can be told apart; `may_have_run` becomes true before the first byte may reach a
+    replica."""
 
     call: object
     partner: str
@@ -30,7 +31,7 @@
     admitted_under: tuple = None
     ends_at: float = 0.0
     send_by: float = float("inf")
-    is_sent: bool = False
+    may_have_run: bool = False
     fields: dict = field(default_factory=dict)
 
     def bind(self, binding):
@@ -41,7 +42,7 @@
         self.ends_at = self.received_at + total_s
 
     def forwarded_fields(self):
-        """The fields sent to the replica besides the content: the binding's adapter, and the caller's id of this
+        """The fields sent to the replica besides the content: the binding's adapter, and the client's id of this
         attempt, by which it can be traced."""
         fields = {"adapter": self.binding.get("adapter"), "request": self.body["request"]}
         return {name: value for name, value in fields.items() if value is not None}
--- a/packages/gateway/oakramp/gateway/routing.py
+++ b/packages/gateway/oakramp/gateway/routing.py
@@ -141,7 +141,7 @@
         """
         return self._unusable_reason(self.age_bound())
 
-    def why_not_ready(self):
+    def not_ready_reason(self):
         """The reason why a component that selects gateways should leave this one out, or None.
 
         During a shard handoff no gateway receives updates for a moment. Gateways reject requests meanwhile but stay
--- a/packages/gateway/oakramp/gateway/turns.py
+++ b/packages/gateway/oakramp/gateway/turns.py
@@ -46,7 +46,7 @@
 class Turns:
     def __init__(self, gate):
         self._gate, self._node, self._reactor = gate, gate.node, gate.node.reactor
-        self._bindings, self._owners, self._conversations = gate.bindings, gate.leaders, gate.conversations
+        self._bindings, self._leaders, self._conversations = gate.bindings, gate.leaders, gate.conversations
         self._load_balancer, self._forwarder = gate.load_balancer, gate.forwarder
         self._run = chain([self._bind, self._admit, self._read_history, self._retain], self._forward)
 
@@ -57,7 +57,7 @@
         body = check_fields(PROGRAM, call.json())
         check_fields({"partner": NAME}, {"partner": partner})
         # The owner looks up the plan's limits: this gate's copy may be outdated when the command arrives.
-        budget_state = await self._owners.call(
+        budget_state = await self._leaders.call(
             f"budget/{partner}/{body['program']}", "open", {"limit": body["limit"]}, 2 * CALL_TIME
         )
         return 201, {"program": body["program"]} | budget_state
@@ -70,7 +70,7 @@
 
     async def _call_budget_owner(self, call, command):
         names = check_fields({"partner": NAME, "program": NAME}, call.names)
-        budget_state = await self._owners.call(
+        budget_state = await self._leaders.call(
             f"budget/{names['partner']}/{names['program']}", command, {}, 2 * CALL_TIME
         )
         return 200, {"program": names["program"]} | budget_state
@@ -139,7 +139,7 @@
         fields["recalling"] = ensureDeferred(
             settled([self._conversations.get(fields["lineKey"], request.remaining(self._reactor.seconds()))])
         )
-        admit_call = self._owners.call(
+        admit_call = self._leaders.call(
             fields["budgetKey"],
             "admit",
             request.admission
@@ -172,13 +172,13 @@
             raise
         except BaseException as error:
             # The output of an interrupted run, perhaps unseen, is unknown: the whole reservation counts as spent.
-            did_not_run = not request.is_sent or (isinstance(error, OakrampError) and error.verdict is Verdict.NO)
+            did_not_run = not request.may_have_run or (isinstance(error, OakrampError) and error.verdict is Verdict.NO)
             self._settle_later(request, *(("never", 0) if did_not_run else ("broken", fields["reserve"])))
             raise
 
     def _settle(self, request, outcome, units):
         fields = request.fields
-        return self._owners.call_until_done(
+        return self._leaders.call_until_done(
             fields["budgetKey"],
             "settle",
             request.admission
--- a/packages/store/oakramp/store/anti_entropy.py
+++ b/packages/store/oakramp/store/anti_entropy.py
@@ -243,7 +243,7 @@
             return
         all_left_ms = await self._call(store, "turnAges", turn_ids=missing)
         await self.fetch_chains(store, [turn_id for turn_id, left_ms in zip(missing, all_left_ms) if left_ms > 0])
-        others = self._stores().everyone.keys() - {self._node.node_id}
+        others = self._stores().all_members.keys() - {self._node.node_id}
         self._table.note_absent(
             store.node_id, [turn_id for turn_id, left_ms in zip(missing, all_left_ms) if left_ms <= 0], others
         )
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -92,19 +92,19 @@
     def _on_membership_change(self, _source):
         self.stores = StoreMembership.from_state_table(self._node.state_table)
         # A store that has left the set gets no hinted writes any more; if it joins again, it copies everything.
-        self._hints = {node_id: hints for node_id, hints in self._hints.items() if node_id in self.stores.everyone}
+        self._hints = {node_id: hints for node_id, hints in self._hints.items() if node_id in self.stores.all_members}
         self.table.prune(self.stores.pruned)
         self._wake_cleanup()
 
     @property
     def is_member(self):
-        return self._node.node_id in self.stores.everyone
+        return self._node.node_id in self.stores.all_members
 
     def has_spare(self):
         """Whether there is a live spare store that could replace this one."""
         record = self.stores.record
         return any(
-            other.node_id not in self.stores.everyone
+            other.node_id not in self.stores.all_members
             and other.node_id not in record["retired"]
             and other.machine not in record.get("emptied", ())
             for other in self._node.members.live("store")
@@ -119,14 +119,14 @@
         return self.is_member and self._covers_since == self.stores.since(self._node.node_id)
 
     def _other_members(self):
-        return {node_id: row["peer"] for node_id, row in self.stores.everyone.items() if node_id != self._node.node_id}
+        return {node_id: row["peer"] for node_id, row in self.stores.all_members.items() if node_id != self._node.node_id}
 
     def _other_stores(self):
         return [StoreAddress(*other) for other in self._other_members().items()]
 
     @staticmethod
     def _sender_of(arguments, stores):
-        return StoreAddress(arguments.sender, stores.everyone[arguments.sender]["peer"])
+        return StoreAddress(arguments.sender, stores.all_members[arguments.sender]["peer"])
 
     def hints_by_member(self):
         return {node_id: len(hints) for node_id, hints in self._hints.items() if hints}
@@ -161,7 +161,7 @@
     def _check_sender(self, arguments):
         """Returns the store set, after checking that the sender has the same epoch and is a member."""
         self._check_epoch(arguments.state.store_epoch)
-        if arguments.sender not in self.stores.everyone:
+        if arguments.sender not in self.stores.all_members:
             raise StaleEpochError(f"{arguments.sender} is not in the store set")
         return self.stores
 
@@ -213,7 +213,7 @@
     async def _send_with_hint(self, node_id, peer, method, key, state, **more):
         """Sends a conversation's state to another store by this method, and keeps a hint until that store has it."""
         # The member may have left the set since the call began: then the hint goes into a list that is discarded.
-        hints = self._hints.setdefault(node_id, OrderedDict()) if node_id in self.stores.everyone else OrderedDict()
+        hints = self._hints.setdefault(node_id, OrderedDict()) if node_id in self.stores.all_members else OrderedDict()
         # Recorded before the state is sent, so that a crash of either side does not lose track of what is missing.
         hints[key] = None
         hints.move_to_end(key)
--- a/packages/store/oakramp/store/turns.py
+++ b/packages/store/oakramp/store/turns.py
@@ -207,14 +207,14 @@
 
         async def call_store(node_id, time_left):
             state = await self.calls.call(
-                node_id, stores.everyone[node_id]["peer"], "turnRecall", time_left, turn_id=turn_id, bodies=True
+                node_id, stores.all_members[node_id]["peer"], "turnRecall", time_left, turn_id=turn_id, bodies=True
             )
             read.add_reply(node_id, state)
             if state.line.full:
                 self._reported_full_at[node_id] = self._reactor.seconds()
 
         await self._call_with_hedging(
-            self._call_order(stores.everyone, turn_id),
+            self._call_order(stores.all_members, turn_id),
             call_store,
             "recall",
             deadline,
@@ -281,14 +281,19 @@
 
     async def _fetch_missing(self, read, stores, deadline):
         """Fetches the missing part of a chain page by page, from any store that has it."""
-        for node_id in self._call_order(stores.everyone, read.turn_id, read.complete_on()):
+        for node_id in self._call_order(stores.all_members, read.turn_id, read.complete_on()):
             while (missing := read.chain()[1]) is not None and missing != read.turn_id:
                 time_left = min(STORE_CALL_TIME, deadline - self._reactor.seconds())
                 if time_left <= 0:
                     return
                 try:
                     state = await self.calls.call(
-                        node_id, stores.everyone[node_id]["peer"], "turnRecall", time_left, turn_id=missing, bodies=True
+                        node_id,
+                        stores.all_members[node_id]["peer"],
+                        "turnRecall",
+                        time_left,
+                        turn_id=missing,
+                        bodies=True,
                     )
                 except OakrampError:
                     break
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -173,7 +173,7 @@
         "a gateway acts on no table that may lack a confirmed change",
         "gateway/oakramp/gateway/routing.py",
         "return self._unusable_reason(self.age_bound())",
-        "return self.why_not_ready()",
+        "return self.not_ready_reason()",
         "test_routing.RouterTests.test_staleness_follows_the_age_bound",
     ),
     CodeMutation(
@@ -214,7 +214,7 @@
     CodeMutation(
         "a promise needs the replica's word",
         "gateway/oakramp/gateway/proxy_forwarder.py",
-        "        if response.status in self._dialect.promise_statuses:",
+        "        if response.status in self._dialect.not_run_statuses:",
         "        if False:",
         "test_relay_calls.NotRunGuarantees.test_a_rejection_without_a_not_run_header_is_answered_502_without_a_retry",
     ),
@@ -619,7 +619,7 @@
     CodeMutation(
         "hints of retired stores go",
         "store/oakramp/store/store_node.py",
-        "for node_id, hints in self._hints.items() if node_id in self.stores.everyone}",
+        "for node_id, hints in self._hints.items() if node_id in self.stores.all_members}",
         "for node_id, hints in self._hints.items()}",
         "test_stores.Replacing.test_nothing_is_kept_for_a_retired_store",
     ),
--- a/packages/testbed/oakramp/testbed/explore/closing_fault.py
+++ b/packages/testbed/oakramp/testbed/explore/closing_fault.py
@@ -63,7 +63,7 @@
 
 def _is_behind(process, voting_config):
     if process.voter.voting_config is None:
-        return process.node_id in voting_config.everyone
+        return process.node_id in voting_config.all_members
     return process.voter.voting_config.version < voting_config.version
 
 
--- a/packages/testbed/oakramp/testbed/explore/process.py
+++ b/packages/testbed/oakramp/testbed/explore/process.py
@@ -162,7 +162,7 @@
         return self.voter.snapshot(SHARD)
 
     def is_voter(self):
-        return self.voter.voting_config is not None and self.node_id in self.voter.voting_config.everyone
+        return self.voter.voting_config is not None and self.node_id in self.voter.voting_config.all_members
 
     def publishes_shard(self):
         """Whether it speaks for the slot in the news, so that it takes no news of it from others."""
--- a/packages/testbed/oakramp/testbed/explore/schedule.py
+++ b/packages/testbed/oakramp/testbed/explore/schedule.py
@@ -309,7 +309,7 @@
         voting_config is None
         or leaving not in voting_config.members
         or machine.process is None
-        or machine.node_id in voting_config.everyone
+        or machine.node_id in voting_config.all_members
     ):
         return False
     if world.machines[choice.subject].process is None:
