--- a/packages/control/oakramp/control/operator_api.py
+++ b/packages/control/oakramp/control/operator_api.py
@@ -15,8 +15,8 @@
 A dialect has to provide: `operator_routes`, {replace, change, read, retire, retire_state: (method, path)}, the last
 two with {machine} in their paths; `operator_status(error)`, for a final error; `base_version_of(headers)`;
 `routing_of(document, parsed)`, the table in this software's own terms, or Invalid with every fault;
-`version_of(document)`; `patch_of(body)`, {version, upsert, remove}; `with_version(document, version)`;
-`retire_shown(state)`, an answer that can be encoded as JSON.
+`version_of(document)`; `parse_patch(body)`, {version, upsert, remove}; `with_version(document, version)`;
+`format_retire_state(state)`, an answer that can be encoded as JSON.
 """
 
 import json
@@ -198,7 +198,7 @@
 
     async def _patch(self, call):
         based_on, body, fingerprint = self._change_of(call, b"PATCH")
-        patch = self._dialect.patch_of(body)
+        patch = self._dialect.parse_patch(body)
         current, document = await self._newest()
         if current != based_on:
             # It cannot be accepted any more, or names a version that does not exist; but it may have been accepted
@@ -229,11 +229,11 @@
 
     async def _retire(self, call):
         read_document(call.request.content.read() or b"{}")
-        return self._dialect.retire_shown(
+        return self._dialect.format_retire_state(
             (await self._ask(STORES_KEY, "retire", {"machine": call.names["machine"]}))["state"]
         )
 
     async def _retired(self, call):
-        return self._dialect.retire_shown(
+        return self._dialect.format_retire_state(
             (await self._ask(STORES_KEY, "retired", {"machine": call.names["machine"]}))["state"]
         )
--- a/packages/control/oakramp/control/replica_discovery.py
+++ b/packages/control/oakramp/control/replica_discovery.py
@@ -48,7 +48,7 @@
         return "/replicas"
 
     @staticmethod
-    def rows_of(body):
+    def parse_list_page(body):
         """(rows, next page token); the token is always None."""
         rows = parse_json(body, PLATFORM_LIMIT, "list").get("replicas")
         if not isinstance(rows, list):
@@ -257,7 +257,7 @@
                 "GET", self._address, self._list_form.list_target(token), None, PLATFORM_TIME, PLATFORM_LIMIT
             )
             if status == 200:
-                return self._list_form.rows_of(body)
+                return self._list_form.parse_list_page(body)
             if status != TOO_MANY_REQUESTS:
                 raise PlatformUnavailableError(f"status {status}")
             pause = backoff * (1 + self._node.random.random())
--- a/packages/gateway/oakramp/gateway/proxy.py
+++ b/packages/gateway/oakramp/gateway/proxy.py
@@ -55,7 +55,7 @@
 
     async def handle(self, exchange):
         """Responds to the exchange; on an error, rejects the request or aborts a response that has started."""
-        request = self._dialect.request_of(exchange.method, exchange.target, exchange.headers)
+        request = self._dialect.parse_request(exchange.method, exchange.target, exchange.headers)
         proxied_request = None
         try:
             proxied_request = await self._accept(exchange, request)
@@ -81,7 +81,7 @@
                 )
             if isinstance(error, QuorumUnavailableError):
                 error.retry_after = self._outage_retry_after(exchange, request)
-            exchange.reply(*self._dialect.refusal(error, request))
+            exchange.reply(*self._dialect.error_response(error, request))
 
     def _outage_retry_after(self, exchange, request):
         """Retry-After in seconds while a component that all requests depend on fails over: about the duration of a
--- a/packages/gateway/oakramp/gateway/proxy_idempotency.py
+++ b/packages/gateway/oakramp/gateway/proxy_idempotency.py
@@ -90,6 +90,6 @@
         headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in stored_response["headers"]]
         proxied_request.exchange.reply(
             stored_response["status"],
-            self._dialect.repeat_headers(headers, proxied_request.request),
+            self._dialect.replayed_headers(headers, proxied_request.request),
             base64.b64decode(stored_response["body"]),
         )
--- a/packages/gateway/oakramp/gateway/proxy_responses.py
+++ b/packages/gateway/oakramp/gateway/proxy_responses.py
@@ -33,10 +33,10 @@
                 OutcomeUnknownError("the replica's response did not end before the deadline"),
             )
             if part is None:
-                return response.status, self._dialect.answer_headers(response.headers), parts, None
+                return response.status, self._dialect.response_headers(response.headers), parts, None
             parts.append(part)
             size += len(part)
-        return response.status, self._dialect.answer_headers(response.headers), parts, response
+        return response.status, self._dialect.response_headers(response.headers), parts, response
 
     async def read_whole(self, proxied_request, response, instance):
         """Returns the status, the headers and the whole body."""
