--- a/packages/cli/oakramp/cli/control_client.py
+++ b/packages/cli/oakramp/cli/control_client.py
@@ -1,4 +1,4 @@
-"""Asking daemons over HTTP, for a person's command: one answer or one clear word why not."""
+"""HTTP requests of operators' commands to nodes: each yields one response or one error message."""
 
 import http.client
 import json
@@ -7,11 +7,11 @@
 
 from oakramp.common.settings import is_address, split_address
 
-ASK_TIME = 15.0  # s; outlasts a take-over and the control nodes' own bound on a change
+ASK_TIME = 15.0  # s; longer than a failover and than the control nodes' own time limit for a change
 
 
 class CommandRefusedError(click.ClickException):
-    """A no, or an outcome that is not known; exit code 1."""
+    """The command was rejected or its outcome is unknown; exit code 1."""
 
 
 class AddressType(click.ParamType):
@@ -27,44 +27,46 @@
 
 
 def ask(address, method, path, value=None, time_left=ASK_TIME):
-    """(status, JSON) of one request; OSError if there was no answer."""
+    """(status, JSON) of one request; raises OSError if there was no readable response."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=time_left)
     try:
-        body = None if value is None else json.dumps(value)
-        connection.request(method, path, body, {"Content-Type": "application/json"})
-        answer = connection.getresponse()
-        data = answer.read()
-        return answer.status, json.loads(data) if data else {}
+        request_body = None if value is None else json.dumps(value)
+        connection.request(method, path, request_body, {"Content-Type": "application/json"})
+        response = connection.getresponse()
+        response_body = response.read()
+        return response.status, json.loads(response_body) if response_body else {}
     except (http.client.HTTPException, ValueError) as error:
-        raise OSError(f"unreadable answer: {error!r}") from error
+        raise OSError(f"unreadable response: {error!r}") from error
     finally:
         connection.close()
 
 
-def ask_first(addresses, method, path, value=None, on_maybe=""):
-    """The answer of the first control node that gives one. Asking the next is safe: reads change nothing,
-    and changes bear an id."""
-    faults, unsure = [], False
+def ask_first(addresses, method, path, value=None, outcome_command=""):
+    """The response of the first control node that sends one. Trying the next node is safe: reads change nothing, and
+    changes carry an id."""
+    errors, may_have_run = [], False
     for address in addresses:
         try:
-            status, answer = ask(address, method, path, value)
+            status, response_json = ask(address, method, path, value)
         except OSError as error:
-            faults.append(f"{address}: {error}")
-            # Refused, nothing left; and a read leaves nothing behind.
-            unsure = unsure or (method != "GET" and not isinstance(error, ConnectionRefusedError))
+            errors.append(f"{address}: {error}")
+            # A refused connection carried no request, and a read has no effect.
+            may_have_run = may_have_run or (method != "GET" and not isinstance(error, ConnectionRefusedError))
             continue
         if status < 400:
-            return answer
-        faults.append(f"{address}: {answer.get('reason', status)}")
-        if answer.get("error") not in ("notOwner", "cannotTell", "noAnswer", "overloaded") and not unsure:
-            lines = answer.get("detail") if isinstance(answer.get("detail"), list) else []
-            raise CommandRefusedError("\n  ".join([f"no: {answer.get('reason', status)}", *map(str, lines)]))
-        unsure = unsure or (method != "GET" and answer.get("verdict") != "no")
-    if unsure and on_maybe:
-        raise CommandRefusedError(f"the outcome is unknown ({'; '.join(faults)}). Find out with: {on_maybe}")
-    raise CommandRefusedError(f"no control node could answer: {'; '.join(faults)}")
-
-
-def show(value):
+            return response_json
+        errors.append(f"{address}: {response_json.get('reason', status)}")
+        if response_json.get("error") not in ("notOwner", "cannotTell", "noAnswer", "overloaded") and not may_have_run:
+            detail_lines = response_json.get("detail") if isinstance(response_json.get("detail"), list) else []
+            raise CommandRefusedError(
+                "\n  ".join([f"no: {response_json.get('reason', status)}", *map(str, detail_lines)])
+            )
+        may_have_run = may_have_run or (method != "GET" and response_json.get("verdict") != "no")
+    if may_have_run and outcome_command:
+        raise CommandRefusedError(f"the outcome is unknown ({'; '.join(errors)}). Find out with: {outcome_command}")
+    raise CommandRefusedError(f"no control node could answer: {'; '.join(errors)}")
+
+
+def print_json(value):
     click.echo(json.dumps(value, indent=2, sort_keys=True))
--- a/packages/cli/oakramp/cli/disk_check.py
+++ b/packages/cli/oakramp/cli/disk_check.py
@@ -1,4 +1,4 @@
-"""oakrampctl disk check: what is wrong in the data folder of a node that is stopped."""
+"""oakrampctl disk check: reports faults in the data folder of a stopped node."""
 
 import json
 import os
@@ -8,61 +8,67 @@
 from oakramp.storage.disk_check import RING_FILE, check_ring
 from oakramp.store.store_node import EMPTYING
 
-WELL, WORTH_A_POLL, DAMAGED = 0, 3, 4  # exit codes, as those of the doctor
+HEALTHY, WARNING, DAMAGED = 0, 3, 4  # exit codes, the same as those of the doctor
 IDENTITY_FIELDS = "nodeId", "clusterId", "addresses"
 
 
 def check_folder(folder):
-    """(exit code, lines to show). Reads only: the folder may be a copy, or one that must stay as it is."""
+    """(exit code, lines to print). Only reads: the folder may be a copy, or one that must not be modified."""
     names = sorted(os.listdir(folder))
     if not names:
-        return WELL, ["the folder is empty: a start here is a new node"]
+        return HEALTHY, ["the folder is empty: a node started with it is a new node"]
     if EMPTYING in names:
-        return WORTH_A_POLL, ["the folder was being emptied: the next start goes on with that, and is a new node"]
-    worst, lines = WELL, []
-    for code, line in (*_identity(folder, names), *_ring(folder), *_others(names)):
-        worst = max(worst, code)
+        return WARNING, ["the folder was being emptied: the next start finishes that, and the node is a new one"]
+    exit_code, lines = HEALTHY, []
+    for code, line in (*_identity(folder, names), *_ring(folder), *_other_files(names)):
+        exit_code = max(exit_code, code)
         lines.append(line)
-    return worst, lines
+    return exit_code, lines
 
 
 def _identity(folder, names):
     if IDENTITY_FILE not in names:
         has_ring = any(RING_FILE.fullmatch(name) for name in names)
         if has_ring:
-            yield DAMAGED, "identity: missing, though a ring is there"
+            yield DAMAGED, "identity: missing, although ring files exist"
         return
     try:
         with open(os.path.join(folder, IDENTITY_FILE), "rb") as file:
-            kept = json.loads(file.read())
-        missing = [name for name in IDENTITY_FIELDS if name not in kept]
+            identity = json.loads(file.read())
+        missing = [name for name in IDENTITY_FIELDS if name not in identity]
     except (ValueError, TypeError) as error:
         yield DAMAGED, f"identity: cannot be read: {error}"
         return
     if missing:
         yield DAMAGED, f"identity: lacks {', '.join(missing)}"
         return
-    yield WELL, f"identity: {kept['nodeId']} of cluster {kept['clusterId']}"
+    yield HEALTHY, f"identity: {identity['nodeId']} of cluster {identity['clusterId']}"
 
 
 def _ring(folder):
-    report = check_ring(folder)
-    if report is None:
-        yield WORTH_A_POLL, "ring: no file of it is there"
+    ring = check_ring(folder)
+    if ring is None:
+        yield WARNING, "ring: no ring file exists"
         return
-    for name, lap, first_number, synced_number in report.laps:
-        yield WELL, f"ring: {name} holds lap {lap} from record {first_number} on; {synced_number} was synced before"
-    if report.damage is not None:
-        yield DAMAGED, f"ring: DAMAGED: {report.damage}"
+    for name, lap, first_number, synced_number in ring.laps:
+        yield (
+            HEALTHY,
+            f"ring: {name} contains lap {lap} from record {first_number} on; {synced_number} was synced before",
+        )
+    if ring.damage is not None:
+        yield DAMAGED, f"ring: DAMAGED: {ring.damage}"
         return
-    for note in report.notes:
-        yield WORTH_A_POLL, f"ring: {note}"
-    yield WELL, f"ring: whole: {report.entries} entries, {report.live_bytes} bytes, up to record {report.newest_record}"
+    for note in ring.notes:
+        yield WARNING, f"ring: {note}"
+    yield (
+        HEALTHY,
+        f"ring: whole: {ring.entries} entries, {ring.live_bytes} bytes, up to record {ring.newest_record}",
+    )
 
 
-def _others(names):
+def _other_files(names):
     for name in names:
         if name.endswith(UNFINISHED):
-            yield WORTH_A_POLL, f"{name}: a write that was cut off; the next start removes it"
+            yield WARNING, f"{name}: an interrupted write; the next start removes it"
         elif name != IDENTITY_FILE and not RING_FILE.fullmatch(name):
-            yield WORTH_A_POLL, f"{name}: no file of a node"
+            yield WARNING, f"{name}: not a file of a node"
--- a/packages/cli/oakramp/cli/doctor.py
+++ b/packages/cli/oakramp/cli/doctor.py
@@ -1,4 +1,4 @@
-"""oakrampctl doctor: looks for common faults, and says for each what it comes from and what to do next."""
+"""oakrampctl doctor: checks for common faults, and reports the cause of each and what to do next."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,10 +8,10 @@
 CHECKS = Registry("check")
 WARNING, FAULT = "warning", "fault"
 EXIT_CODES = {WARNING: 3, FAULT: 4}
-SLOW_SYNC = 0.1  # s; a sync this slow is felt in every turn
+SLOW_SYNC = 0.1  # s; a sync that takes longer noticeably delays every turn
 FULL_SHARE = 0.8  # share of a ring's capacity
-DAMAGED = "damaged"  # the condition of a node whose disk lost what it had confirmed
-OWNERLESS = 5.0  # s; a take-over is over by then
+DAMAGED = "damaged"  # the condition of a node whose disk lost data that it had confirmed
+LEADERLESS_TIME_MAX = 5.0  # s; a failover has ended by then
 
 
 @dataclass(frozen=True)
@@ -25,8 +25,8 @@
 
 @dataclass
 class Survey:
-    """What one look at the fleet gave. `nodes` are rows of /v1/nodes; `conditions` maps a node id to its
-    /condition, or to the reason why there is none: refused (nobody listens) or silent (no answer in time)."""
+    """The state of a fleet as read once. `nodes` are rows of /v1/nodes; `conditions` maps a node id to its /condition,
+    or to the reason why there is none: refused (connection refused) or silent (no response in time)."""
 
     nodes: list = field(default_factory=list)
     conditions: dict = field(default_factory=dict)
@@ -40,24 +40,25 @@
         return next((row["machine"] for row in self.nodes if row["nodeId"] == node_id), node_id)
 
     def is_alive(self, node_id):
-        """Whether this node answers, and takes part."""
-        said = self.conditions.get(node_id)
-        return isinstance(said, dict) and said["condition"] != DAMAGED
+        """Whether this node responds and is not damaged."""
+        report = self.conditions.get(node_id)
+        return isinstance(report, dict) and report["condition"] != DAMAGED
 
-    def answered(self, kind=None):
-        alive = [said for node_id, said in self.conditions.items() if self.is_alive(node_id)]
-        return [said for said in alive if kind in (None, said["kind"])]
+    def reports(self, kind=None):
+        alive = [report for node_id, report in self.conditions.items() if self.is_alive(node_id)]
+        return [report for report in alive if kind in (None, report["kind"])]
 
 
 def take_survey(ask_control, ask_node):
-    """`askControl(path)` gives a control node's answer; `askNode(address)` a node's /condition or a reason."""
+    """`ask_control(path)` returns the response of a control node; `ask_node(address)` the /condition of a node, or the
+    reason why there is none."""
     survey = Survey(ask_control("/v1/nodes")["nodes"])
     survey.conditions = {row["nodeId"]: ask_node(row["http"]) for row in survey.nodes}
     survey.shards = ask_control("/v1/slots")["slots"]
     survey.stores = ask_control("/v1/stores")
     survey.replicas = ask_control("/v1/replicas")["replicas"]
     survey.placement = ask_control("/v1/placement")
-    partners = sorted({partner for said in survey.answered("gate") for partner in said["partners"]})
+    partners = sorted({partner for report in survey.reports("gate") for partner in report["partners"]})
     survey.blueprints = {partner: ask_control(f"/v1/blueprints/{partner}")["blueprint"] for partner in partners}
     return survey
 
@@ -72,113 +73,113 @@
 
 @CHECKS.enter("nodes")
 def _nodes(survey):
-    for node_id, said in survey.conditions.items():
-        if said == "refused":
+    for node_id, report in survey.conditions.items():
+        if report == "refused":
             yield Finding(
                 FAULT,
                 "nodes",
                 f"{survey.machine(node_id)} is down",
                 "its process has ended",
-                "start it; with its data folder it is the same node",
+                "start it; with its data folder it keeps its identity",
             )
-        if said == "silent":
+        if report == "silent":
             yield Finding(
                 FAULT,
                 "nodes",
                 f"{survey.machine(node_id)} does not answer",
-                "frozen, overloaded or cut off",
-                "look at the machine; kill the process if it is stuck and start it again",
+                "its process is frozen or overloaded, or the network is partitioned",
+                "examine the machine; kill the process if it hangs, and start it again",
             )
 
 
 @CHECKS.enter("damage")
 def _damage(survey):
-    for node_id, said in survey.conditions.items():
-        if isinstance(said, dict) and said["condition"] == DAMAGED:
+    for node_id, report in survey.conditions.items():
+        if isinstance(report, dict) and report["condition"] == DAMAGED:
             yield Finding(
                 FAULT,
                 "damage",
-                f"{survey.machine(node_id)} takes no part: {said['reason']}",
-                "its disk lost something that it had confirmed, or its files were changed",
-                "stop it, look with oakrampctl disk check, keep the folder, and replace the node by an empty one",
+                f"{survey.machine(node_id)} is out of service: {report['reason']}",
+                "its disk lost data that it had confirmed, or its files were modified",
+                "stop it, run oakrampctl disk check, keep the folder, and replace the node by an empty one",
             )
 
 
 @CHECKS.enter("seeds")
 def _seeds(survey):
-    bad = Counter(seed for said in survey.answered() for seed, answers in said["seeds"].items() if not answers)
-    for seed, count in sorted(bad.items()):
+    failed = Counter(seed for report in survey.reports() for seed, answers in report["seeds"].items() if not answers)
+    for seed, count in sorted(failed.items()):
         yield Finding(
             WARNING,
             "seeds",
-            f"seed {seed} answers none of {count} nodes",
-            "that machine is gone or moved",
-            "put a living control node into the settings before the next restart",
+            f"seed {seed} does not respond to {count} nodes",
+            "that machine was removed or its address changed",
+            "set a live control node as seed in the settings before the next restart",
         )
 
 
 @CHECKS.enter("clocks")
 def _clocks(survey):
-    for said in survey.answered():
-        if said["clock"]["jumps"]:
+    for report in survey.reports():
+        if report["clock"]["jumps"]:
             yield Finding(
                 WARNING,
                 "clocks",
-                f"{said['machine']}'s wall clock jumped {said['clock']['jumps']} times, last "
-                f"by {said['clock']['lastJump']} s",
-                "time service or a suspended machine",
-                "nothing here depends on it but the times in logs; look at the time service",
+                f"{report['machine']}'s wall clock jumped {report['clock']['jumps']} times, last "
+                f"by {report['clock']['lastJump']} s",
+                "the time service, or the machine was suspended",
+                "only the times in logs depend on it; check the time service",
             )
 
 
 @CHECKS.enter("disks")
 def _disks(survey):
-    for said in survey.answered():
-        disk = said.get("disk")
+    for report in survey.reports():
+        disk = report.get("disk")
         if disk is None:
             continue
         if disk["broken"]:
             yield Finding(
                 FAULT,
                 "disks",
-                f"{said['machine']}'s disk failed: {disk['broken']}",
-                "the disk, or it is full",
-                "free space: it then takes part again by itself. Else replace the machine by an empty one",
+                f"{report['machine']}'s disk failed: {disk['broken']}",
+                "a fault of the disk, or the disk is full",
+                "free space: the node then returns to service by itself. Otherwise replace the machine by an empty one",
             )
         if disk["syncSeconds"] > SLOW_SYNC:
             yield Finding(
                 WARNING,
                 "disks",
-                f"{said['machine']}'s syncs take {disk['syncSeconds']} s",
+                f"{report['machine']}'s syncs take {disk['syncSeconds']} s",
                 "a slow disk",
-                "others carry the load meanwhile; replace the disk if it lasts",
+                "other nodes take over its load meanwhile; replace the disk if it stays slow",
             )
         if disk["liveBytes"] > FULL_SHARE * disk["capacity"]:
             yield Finding(
                 WARNING,
                 "disks",
-                f"{said['machine']}'s ring is {disk['liveBytes'] / disk['capacity']:.0%} full",
-                "more state than the ring was made for",
-                "make a node with a larger ringFileSize",
+                f"{report['machine']}'s ring is {disk['liveBytes'] / disk['capacity']:.0%} full",
+                "more state than the ring was sized for",
+                "add a node with a larger ringFileSize",
             )
 
 
 @CHECKS.enter("slots")
 def _shards(survey):
-    bad = [row["slot"] for row in survey.shards if row["owner"] is None or row["age"] > OWNERLESS]
-    if bad:
+    failed = [row["slot"] for row in survey.shards if row["owner"] is None or row["age"] > LEADERLESS_TIME_MAX]
+    if failed:
         yield Finding(
             FAULT,
             "slots",
-            f"{len(bad)} slots have no confirmed owner: {bad[:8]}",
-            "no majority of the roster's disks answers, or a take-over is under way",
-            "start the missing control nodes; look again in 5 s",
+            f"{len(failed)} shards (slots) have no confirmed leader: {failed[:8]}",
+            "no majority of the voters responds, or a failover is in progress",
+            "start the missing control nodes; check again in 5 s",
         )
 
 
 def _newest_members(survey):
-    """The members of the newest roster that any control node stands in; empty if there is none."""
-    voting_configs = [said["roster"] for said in survey.answered("control") if said.get("roster")]
+    """The members of the newest voting configuration that any control node has; empty if there is none."""
+    voting_configs = [report["roster"] for report in survey.reports("control") if report.get("roster")]
     return max(voting_configs, key=lambda voting_config: voting_config["version"])["members"] if voting_configs else {}
 
 
@@ -193,59 +194,59 @@
         yield Finding(
             FAULT if spare <= 0 else WARNING,
             "roster",
-            f"{len(alive)} of {len(members)} voters answer, {spare} may still be lost",
-            "control nodes are down or lost their disks",
+            f"{len(alive)} of {len(members)} voters respond, {spare} more may be lost",
+            "control nodes are down, or their disks were lost",
             "start them, or replace a lost one: oakrampctl roster replace",
         )
 
 
 @CHECKS.enter("majority")
 def _majority(survey):
-    for said in survey.answered("control"):
-        if not said.get("majority", True):  # a release before this one does not say
+    for report in survey.reports("control"):
+        if not report.get("majority", True):  # a release before this one does not say
             yield Finding(
                 FAULT,
                 "majority",
-                f"{said['machine']} is cut off: no majority of the roster answers it",
-                "the network between it and the other control nodes, or too many of them are down",
-                "orders to it are answered 503 until it is back; use another control node, and look at its network",
+                f"{report['machine']} is partitioned: no majority of the voters responds to it",
+                "a fault of the network between it and the other control nodes, or too many of them are down",
+                "it responds to changes with 503 until it recovers; use another control node, and check its network",
             )
 
 
 @CHECKS.enter("catching up")
 def _catching_up(survey):
     if not all(survey.is_alive(node_id) for node_id in _newest_members(survey)):
-        return  # who is down is behind; the roster's check tells of it
-    for said in survey.answered("control"):
-        behind = said.get("votersBehind", 0)  # a release before this one does not say
+        return  # a member that is down is behind as well; the roster check reports it
+    for report in survey.reports("control"):
+        behind = report.get("votersBehind", 0)  # a release before this one does not say
         if behind:
             yield Finding(
                 WARNING,
                 "catching up",
-                f"{behind} voters, counted for each slot that {said['machine']} owns, lack something of it",
-                "members were away, or are new; until they have caught up, fewer copies are left than it seems",
-                "nothing, if it is over within 10 s; else look at the disks and the network of these members",
+                f"{behind} voters, counted for each shard that {report['machine']} leads, lack part of its state",
+                "members were unreachable, or are new; until they have caught up, there are fewer copies than voters",
+                "nothing, if it ends within 10 s; otherwise check the disks and the network of these members",
             )
 
 
 @CHECKS.enter("platform")
 def _platform(survey):
-    for said in survey.answered("control"):
-        if said["platform"] is None:
+    for report in survey.reports("control"):
+        if report["platform"] is None:
             yield Finding(
                 WARNING,
                 "platform",
-                f"{said['machine']} does not know the platform",
+                f"{report['machine']} does not know the platform's address",
                 "its settings lack `platform`",
                 "give all control nodes the platform's address, and start this one again",
             )
-        elif not said["platform"]:
+        elif not report["platform"]:
             yield Finding(
                 WARNING,
                 "platform",
-                f"{said['machine']} could not read the platform's list",
-                "the platform is down, or this node is cut off from it; others look for it meanwhile",
-                "look at the platform, and at the network of that machine",
+                f"{report['machine']} could not read the platform's list",
+                "the platform is down, or this node cannot reach it; other control nodes read the list meanwhile",
+                "check the platform and the network of that machine",
             )
 
 
@@ -258,110 +259,112 @@
         yield Finding(
             FAULT if spare < 0 else WARNING,
             "stores",
-            f"{len(alive)} of {len(members)} stores answer, {spare} may still be lost",
-            "a store is down or lost its disk",
-            "start it, or bring an empty one in its place: oakrampctl store replace",
+            f"{len(alive)} of {len(members)} stores respond, {spare} more may be lost",
+            "a store is down, or its disk was lost",
+            "start it, or replace it by an empty one: oakrampctl store replace",
         )
     for row in alive:
         if not survey.conditions[row["nodeId"]]["covers"]:
             yield Finding(
                 WARNING,
                 "stores",
-                f"{survey.machine(row['nodeId'])} does not have all lines yet",
-                "it joined or came back empty and is copying",
-                "wait; look at its lines in oakrampctl stores",
+                f"{survey.machine(row['nodeId'])} does not have all conversations yet",
+                "it joined or was restarted empty, and is copying",
+                "wait; oakrampctl stores shows its progress",
             )
 
 
 @CHECKS.enter("hints")
 def _hints(survey):
-    for said in survey.answered("store"):
-        for node_id, count in said["hints"].items():
+    for report in survey.reports("store"):
+        for node_id, count in report["hints"].items():
             yield Finding(
                 WARNING,
                 "hints",
-                f"{said['machine']} keeps {count} lines for {survey.machine(node_id)}",
-                "that store was away or slow",
-                "they are handed over once it answers; start it if it is down",
+                f"{report['machine']} holds hints of {count} conversations for {survey.machine(node_id)}",
+                "that store was unreachable or slow",
+                "they are handed off once it responds; start it if it is down",
             )
 
 
 @CHECKS.enter("copies")
 def _copies(survey):
     counts = {
-        said["machine"]: said["lines"]
-        for said in survey.answered("store")
-        if said["nodeId"] in {row["nodeId"] for row in survey.stores.get("members", [])}
+        report["machine"]: report["lines"]
+        for report in survey.reports("store")
+        if report["nodeId"] in {row["nodeId"] for row in survey.stores.get("members", [])}
     }
     if counts and max(counts.values()) > 1.1 * min(counts.values()) + 10:
         yield Finding(
             WARNING,
             "copies",
-            f"stores keep different counts of lines: {counts}",
-            "one lacks copies",
-            "anti-entropy brings them within minutes; look at hints and disks if not",
+            f"stores have different numbers of conversations: {counts}",
+            "a store lacks copies",
+            "anti-entropy copies them within minutes; otherwise check hints and disks",
         )
 
 
 @CHECKS.enter("news")
 def _news(survey):
-    for said in survey.answered("gate"):
-        for partner, why in said["stale"].items():
+    for report in survey.reports("gate"):
+        for partner, reason in report["stale"].items():
             yield Finding(
                 FAULT,
                 "news",
-                f"{said['machine']} serves nothing for {partner}: {why}",
-                "it is cut off from the control nodes, or the slot has no owner",
-                "look at the findings on slots and seeds, and at the network of that machine",
+                f"{report['machine']} forwards no requests of {partner}: {reason}",
+                "it cannot reach the control nodes, or the shard has no leader",
+                "see the findings on slots and seeds, and check the network of that machine",
             )
 
 
 @CHECKS.enter("eviction")
 def _eviction(survey):
-    modes = Counter(said["eviction"] for said in survey.answered("control"))
+    modes = Counter(report["eviction"] for report in survey.reports("control"))
     if len(modes) > 1:
         yield Finding(
             WARNING,
             "eviction",
             f"control nodes differ in the setting eviction: {dict(modes)}",
-            "settings were changed on some machines only",
-            "give all control nodes and gates the same",
+            "settings were changed on only some machines",
+            "use the same setting on all control nodes and gateways",
         )
     for service, rows in sorted(survey.placement.get("findings", {}).items()):
-        placed = survey.placement["services"].get(service, {"mode": "on", "tenants": {}})
-        left = [
-            one for one in rows if one["trapped"] and (placed["mode"] != "on" or one["tenant"] not in placed["tenants"])
+        placement = survey.placement["services"].get(service, {"mode": "on", "tenants": {}})
+        not_moved = [
+            one
+            for one in rows
+            if one["trapped"] and (placement["mode"] != "on" or one["tenant"] not in placement["tenants"])
         ]
-        without_room = [one["tenant"] for one in left if not one["room"]]
-        if without_room:
+        without_capacity = [one["tenant"] for one in not_moved if not one["room"]]
+        if without_capacity:
             yield Finding(
                 WARNING,
                 "eviction",
-                f"{len(without_room)} tenants of {service} ({', '.join(without_room[:3])}) evict "
+                f"{len(without_capacity)} tenants of {service} ({', '.join(without_capacity[:3])}) evict "
                 "others' prefixes and find no room",
-                "their prefixes do not fit the replicas' caches, all together",
+                "the caches of the replicas are too small for all their prefixes together",
                 "more replicas for the service, or larger caches; oakrampctl eviction shows the sizes",
             )
-        elif left and placed["mode"] != "on":
+        elif not_moved and placement["mode"] != "on":
             yield Finding(
                 WARNING,
                 "eviction",
-                f"{len(left)} tenants of {service} evict each other's prefixes and are not moved",
+                f"{len(not_moved)} tenants of {service} evict each other's prefixes and are not moved",
                 "the setting eviction is observe",
-                "look at oakrampctl eviction, and set it to on",
+                "check oakrampctl eviction, and set it to on",
             )
 
 
 @CHECKS.enter("versions")
 def _versions(survey):
-    releases = Counter(said["release"] for said in survey.answered())
+    releases = Counter(report["release"] for report in survey.reports())
     if len(releases) > 1:
         yield Finding(
             WARNING,
             "versions",
             f"releases differ: {dict(releases)}",
-            "a roll-out is under way",
-            "finish it; two adjacent releases work together",
+            "a rollout is in progress",
+            "finish it; two adjacent releases are compatible",
         )
 
 
@@ -379,6 +382,6 @@
                 "bindings",
                 f"{partner}: {len(names)} bindings ({', '.join(names[:3])}) name pool {pool}, which "
                 "has no ready replica",
-                "a misspelt pool, or all its replicas left",
+                "a misspelled pool, or all its replicas have left",
                 "change the bindings, or have the platform list replicas for the pool",
             )
--- a/packages/cli/oakramp/cli/eviction.py
+++ b/packages/cli/oakramp/cli/eviction.py
@@ -1,36 +1,36 @@
-"""What operators see of tenants in mutual eviction: who is trapped, why, what was moved, what it brought."""
+"""The text of `oakrampctl eviction`: which tenants evict each other's prefixes, which were moved, and with what effect."""
 
 
-def _now(finding):
+def _current_state(finding):
     if finding is None:
-        return "now silent"
+        return "now without requests"
     return f"now {finding['late']:.0%} late of {finding['requests']}"
 
 
-def _moved(service, tenant, row, finding, mode):
+def _moved_line(service, tenant, row, finding, mode):
     verb = "keeps to" if mode == "on" else "would keep to"
     why = (
-        f"{row['evicted']:.0%} of its prompt tokens read again, {row['late']:.0%} late" if "late" in row else "unknown"
+        f"{row['evicted']:.0%} of its prompt tokens recomputed, {row['late']:.0%} late" if "late" in row else "unknown"
     )
-    return f"{service} {tenant}: {verb} {', '.join(row['replicas'])}; when found: {why}; {_now(finding)}"
+    return f"{service} {tenant}: {verb} {', '.join(row['replicas'])}; when found: {why}; {_current_state(finding)}"
 
 
-def _trapped(service, finding):
+def _trapped_line(service, finding):
     room = "waits to be moved" if finding["room"] else "finds no room"
     return (
-        f"{service} {finding['tenant']}: trapped, {room}; {finding['evicted']:.0%} of its prompt tokens read again because "
-        f"of others, {finding['alone']:.0%} by itself, working set {finding['working_set']} tokens; {_now(finding)}"
+        f"{service} {finding['tenant']}: mutual eviction, {room}; {finding['evicted']:.0%} of its prompt tokens recomputed because "
+        f"of others, {finding['alone']:.0%} by itself, working set {finding['working_set']} tokens; {_current_state(finding)}"
     )
 
 
-def lines_of(said):
-    """A line a tenant, from the answer of /v1/placement."""
-    found = {(service, one["tenant"]): one for service, rows in said["findings"].items() for one in rows}
+def format_placement(placement):
+    """One line for each tenant, from the response of /v1/placement."""
+    findings = {(service, one["tenant"]): one for service, rows in placement["findings"].items() for one in rows}
     moved = {
         (service, tenant): (row, placed["mode"])
-        for service, placed in said["services"].items()
+        for service, placed in placement["services"].items()
         for tenant, row in placed["tenants"].items()
     }
-    return [_moved(*key, row, found.get(key), mode) for key, (row, mode) in sorted(moved.items())] + [
-        _trapped(key[0], one) for key, one in sorted(found.items()) if one["trapped"] and key not in moved
+    return [_moved_line(*key, row, findings.get(key), mode) for key, (row, mode) in sorted(moved.items())] + [
+        _trapped_line(key[0], one) for key, one in sorted(findings.items()) if one["trapped"] and key not in moved
     ]
