--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -584,7 +584,7 @@
     CodeMutation(
         "unknown at the command line",
         "cli/oakramp/cli/control_client.py",
-        '"overloaded") and not unsure:',
+        '"overloaded") and not may_have_run:',
         '"overloaded"):',
         "test_api.CommandLine.test_an_unknown_outcome_is_never_reported_as_no",
     ),
