--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -482,21 +482,21 @@
         "control/oakramp/control/shard_client.py",
         "                waiting.cancel()\n",
         "",
-        "test_cut_off.CutMembers.test_owner_cut_from_the_other_members",
+        "test_cut_off.CutMembers.test_leader_partitioned_from_the_other_members",
     ),
     CodeMutation(
         "a gate's unknown rests on news from after the call",
         "gateway/oakramp/gateway/bindings.py",
         "return None if confirmed_at >= received_at else",
         "return None if True else",
-        "test_cut_off.Gates.test_a_plan_that_a_gate_has_not_heard_of_yet_is_not_unknown",
+        "test_cut_off.Gates.test_a_plan_that_has_not_reached_the_gateway_is_not_unknown",
     ),
     CodeMutation(
         "what no owner said is no answer",
         "control/oakramp/control/shard_client.py",
         '"timeSpent", "noMethod", "fenced"]',
         '"timeSpent"]',
-        "test_cut_off.WrongAddresses.test_an_address_that_is_a_gates_now",
+        "test_cut_off.WrongAddresses.test_an_address_that_now_belongs_to_a_gateway",
     ),
     CodeMutation(
         "a patch that can still be taken is not lost",
@@ -513,7 +513,7 @@
         "control/oakramp/control/quorum_contact.py",
         "            self._is_lost = not hears_majority\n",
         "            self._is_lost = False\n",
-        "test_cut_off.Told.test_condition_and_doctor",
+        "test_cut_off.ReportedContact.test_condition_and_doctor",
     ),
     CodeMutation(
         "a term is held for less than it is waited out",
@@ -527,21 +527,21 @@
         "control/oakramp/control/publication.py",
         "        return now if leader.holds_lease() else None",
         "        return self._reactor.seconds() if leader.holds_lease() else None",
-        "test_cut_off.FrozenOwners.test_leader_frozen_while_it_confirms_its_state",
+        "test_cut_off.BrieflyFrozenLeaders.test_leader_frozen_while_it_confirms_its_state",
     ),
     CodeMutation(
         "no answer by a term that is over",
         "control/oakramp/control/shard_leader.py",
         "return not self.ended and self._registry.reactor.seconds() < self.lease_until",
         "return not self.ended",
-        "test_cut_off.FrozenOwners.test_owner_frozen_for_a_moment_only",
+        "test_cut_off.BrieflyFrozenLeaders.test_leader_frozen_for_a_moment",
     ),
     CodeMutation(
         "the term is looked at again after a read",
         "control/oakramp/control/shard_leader.py",
         "        if not self.holds_lease():\n            return (\n",
         "        if False:\n            return (\n",
-        "test_cut_off.FrozenOwners.test_leader_frozen_during_a_read",
+        "test_cut_off.BrieflyFrozenLeaders.test_leader_frozen_during_a_read",
     ),
     CodeMutation(
         "a read asks the owner",
@@ -551,14 +551,14 @@
             '        answer = known[0] and {"version": known[0]} or await self._ask(ROUTING_KEY, "read", '
             '{"known": known[0]})\n'
         ),
-        "test_cut_off.CutMembers.test_member_cut_from_its_zones_others",
+        "test_cut_off.CutMembers.test_member_partitioned_from_the_rest_of_its_zone",
     ),
     CodeMutation(
         "an order goes on to an owner that is silent to one member",
         "control/oakramp/control/shard_client.py",
         "onward = bool(silent)",
         "onward = False",
-        "test_cut_off.CutMembers.test_member_cut_from_the_owner_only",
+        "test_cut_off.CutMembers.test_member_partitioned_from_the_leader_only",
     ),
     CodeMutation(
         "a replacement is told to be over once a majority stands in it",
@@ -600,7 +600,7 @@
         "control/oakramp/control/shard_client.py",
         "if reactor.seconds() < until}",
         "}",
-        "test_cut_off.FrozenOwners.test_owner_frozen_for_a_moment_is_asked_again",
+        "test_cut_off.BrieflyFrozenLeaders.test_leader_frozen_for_a_moment_is_called_again",
     ),
     CodeMutation(
         "full stores are said before the run",
