--- a/packages/control/oakramp/control/failover.py
+++ b/packages/control/oakramp/control/failover.py
@@ -293,7 +293,9 @@
     def _asking_voters(self) -> set[str]:
         """Node ids of the voters from which this node has recently received gossip requests."""
         return {
-            node_id for node_id in self._voter.voting_config.all_members if self._node.gossip_client.was_pulled_by(node_id)
+            node_id
+            for node_id in self._voter.voting_config.all_members
+            if self._node.gossip_client.was_pulled_by(node_id)
         }
 
     def _report_partitioned(self, is_partitioned: bool) -> None:
--- a/packages/gateway/oakramp/gateway/proxy_node.py
+++ b/packages/gateway/oakramp/gateway/proxy_node.py
@@ -99,9 +99,7 @@
         return self._limits[1]
 
     def _reject(self, exchange):
-        error = OverloadedError(
-            "the gateway has reached its limit of concurrent requests", retry_after=RETRY_AFTER_MIN
-        )
+        error = OverloadedError("the gateway has reached its limit of concurrent requests", retry_after=RETRY_AFTER_MIN)
         request = self._dialect.parse_request(exchange.method, exchange.target, exchange.headers)
         exchange.reply(*self._dialect.error_response(error, request))
 
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -119,7 +119,9 @@
         return self.is_member and self._covers_since == self.stores.since(self._node.node_id)
 
     def _other_members(self):
-        return {node_id: row["peer"] for node_id, row in self.stores.all_members.items() if node_id != self._node.node_id}
+        return {
+            node_id: row["peer"] for node_id, row in self.stores.all_members.items() if node_id != self._node.node_id
+        }
 
     def _other_stores(self):
         return [StoreAddress(*other) for other in self._other_members().items()]
