--- a/packages/testbed/oakramp/testbed/checker.py
+++ b/packages/testbed/oakramp/testbed/checker.py
@@ -361,7 +361,7 @@
 def _plan_answer(plan):
     if plan.outcome == "refused":
         return Answer.REFUSED if plan.error == "lost" else Answer.INVALID
-    return Answer.TAKEN if plan.outcome == "accepted" else Answer.OPEN
+    return Answer.ACKNOWLEDGED if plan.outcome == "accepted" else Answer.OPEN
 
 
 def _plan_orders(plans):
@@ -389,7 +389,7 @@
         ]
         bad += [f"{partner}'s plan: {fault}" for fault in check_history(orders, reads)]
         checked += len(orders) + len(reads)
-        near += sum(not order.is_taken or len(order.tries) > 1 for order in orders)
+        near += sum(not order.is_acknowledged or len(order.tries) > 1 for order in orders)
     return Report(checked, near, bad)
 
 
--- a/packages/testbed/oakramp/testbed/commands.py
+++ b/packages/testbed/oakramp/testbed/commands.py
@@ -19,7 +19,7 @@
 from oakramp.testbed.fleet import Fleet
 from oakramp.testbed.plan import NETWORK, Machine, Size, env_of
 from oakramp.testbed.simfleet import SimFleet
-from oakramp.testbed.work import calls_of
+from oakramp.testbed.work import count_calls
 
 TICKS = os.sysconf("SC_CLK_TCK")
 CLIENT = Machine("bench0", "gate", "zone0", f"{NETWORK}.240.1")
@@ -60,7 +60,7 @@
         if name is None:
             call.func(*call.args, **call.kw)
             return
-        self.calls[name] += calls_of(lambda: call.func(*call.args, **call.kw))
+        self.calls[name] += count_calls(lambda: call.func(*call.args, **call.kw))
 
     def during(self, fleet, seconds):
         before = Counter(self.calls)
--- a/packages/testbed/oakramp/testbed/fleet.py
+++ b/packages/testbed/oakramp/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on loopback addresses. Only the lab starts processes; the daemons never do."""
+"""A fleet of real processes on loopback addresses. Only the testbed starts processes; the daemons never do."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 from oakramp.testbed.plan import PARTNERS, PLATFORM, SIZES, blueprint_of, env_of, machines_of
 
 PROGRAMS = {"control": "oakramp-control", "store": "oakramp-store", "gate": "oakramp-gateway"}
-START_TIME = 30.0  # s; a dozen interpreters starting at once on a busy machine
+START_TIME = 30.0  # s; enough for a dozen interpreters that start at once on a busy machine
 
 
 def _program(name):
@@ -19,7 +19,8 @@
 
 
 class Fleet:
-    """Invariant: `_processes` holds only processes that this fleet started and has not seen end."""
+    """Invariant: `_processes` holds only processes that this fleet started and that have not ended, as far as it
+    knows."""
 
     def __init__(self, folder, size_name):
         self.folder, self.size_name = folder, size_name
@@ -59,7 +60,7 @@
         self._processes.pop(name).wait()
 
     def stop(self, name, time_left=60):
-        """A planned stop; returns the exit code."""
+        """Stops the process gracefully; returns its exit code."""
         self._processes[name].send_signal(signal.SIGTERM)
         return self._processes.pop(name).wait(time_left)
 
@@ -71,7 +72,7 @@
             process.wait()
         self._processes.clear()
 
-    # --- bringing it up ---
+    # --- start ---
 
     def control(self, *words):
         """Runs oakrampctl as an operator would."""
@@ -97,8 +98,8 @@
         self.start_standins()
         self.start_all()
         for machine in self.machines:
-            self.wait_for(f"{machine.name} answering", lambda machine=machine: ask(machine.http, "GET", "/condition"))
-        self.wait_for("the stand-ins answering", lambda: ask(PLATFORM, "GET", "/replicas"))
+            self.wait_for(f"{machine.name} responding", lambda machine=machine: ask(machine.http, "GET", "/condition"))
+        self.wait_for("the emulators responding", lambda: ask(PLATFORM, "GET", "/replicas"))
         stores = [word for machine in self.of_kind("store") for word in ("--store", machine.http)]
         done = self.control("init", "--cluster", "lab", *stores)
         if done.returncode:
@@ -115,6 +116,6 @@
     def wait_ready(self):
         for machine in self.machines:
             self.wait_for(
-                f"{machine.name} being ready",
+                f"{machine.name} becoming ready",
                 lambda machine=machine: ask(machine.http, "GET", "/condition")[1].get("condition") == "ready",
             )
--- a/packages/testbed/oakramp/testbed/outages.py
+++ b/packages/testbed/oakramp/testbed/outages.py
@@ -1,5 +1,5 @@
-"""Everything goes at once, in several ways. Each is a function of a fleet that runs; it gives the time at which
-everything is back that comes back."""
+"""Total outages of several kinds. Each is a function of a running fleet, which returns the time at which all machines
+that come back have been started."""
 
 from oakramp.common.constants import CONTROL_FULL, STORE_FULL
 from oakramp.common.registry import Registry
@@ -10,7 +10,7 @@
 from oakramp.testbed.trial import check_served_again, start_conversation, total_outage
 
 OUTAGES = Registry("outage")
-SMALL_RING = 1 << 16  # bytes; of a ring's file, so that the whole is soon full
+SMALL_RING = 1 << 16  # bytes; file size of a circular log that is soon full
 
 
 def _end_all(fleet, how, seconds=1.0):
@@ -47,7 +47,7 @@
 
 @OUTAGES.enter("disksLostWithIt")
 def _disks_lost_with_it(fleet):
-    """One store's and one control node's disk go in the same outage."""
+    """One store and one control node lose their disks in the outage."""
     _end_all(fleet, lambda one: one.power_cut())
     for name in ("store1", "control2"):
         fleet[name].lose_disk()
@@ -108,7 +108,7 @@
 
 @OUTAGES.enter("againWhileItComesBack")
 def _again_while_it_comes_back(fleet):
-    """The power goes a second time, 1.5 s after it came back."""
+    """A second power loss follows, 1.5 s after the machines started again."""
     total_outage(fleet)
     fleet.run(1.5)
     return total_outage(fleet)
@@ -116,7 +116,8 @@
 
 @OUTAGES.enter("fullRings")
 def _full_rings(fleet):
-    """Rings nearly up to where nothing new is taken any more: there they stay until old things go."""
+    """The circular logs are filled nearly to the level at which they accept nothing new; they stay there until old
+    entries expire."""
     numbers = iter(range(10**9))
 
     def is_nearly_full(ring, share):
@@ -139,13 +140,14 @@
 
     fleet.until(fill_control(), 200.0)
     fleet.until(fill_stores(fleet["store0"]), 200.0)
-    fleet.run(10.0)  # the others copy
+    fleet.run(10.0)  # the other stores copy it
     return total_outage(fleet)
 
 
 @OUTAGES.enter("muchKept")
 def _much_kept(fleet):
-    """Some thousands of programs and lines; how long real disks take to load more is measured by `loading`."""
+    """The fleet holds some thousands of programs and conversations; `loading` measures how long a load of more
+    takes."""
     names = [f"kept{number}" for number in range(2000)]
     fleet.until(settled([fleet.client.open_program("dalatech", name, 10) for name in names]), 300.0)
 
@@ -167,7 +169,7 @@
 
 
 def run_outage(name, seed):
-    """(fleet, seconds until the last of everything was served again, what was not served in time)."""
+    """(fleet, seconds until all kinds of requests were served again, descriptions of those not served in time)."""
     fleet = SimFleet(seed, **({"ring_file_size": RING_SIZES[name]} if name in RING_SIZES else {}))
     init_fault_state(fleet)
     fleet.bring_up()
--- a/packages/testbed/oakramp/testbed/plan.py
+++ b/packages/testbed/oakramp/testbed/plan.py
@@ -1,4 +1,4 @@
-"""The lab's machines, replicas and blueprints: the brief's sizes, and a small fleet for a first look."""
+"""The machines, replicas and blueprints of the testbed: a fleet of the required size, and a small one."""
 
 from dataclasses import dataclass
 
@@ -79,13 +79,13 @@
     return env | {"folder": folder} | ({"platform": PLATFORM} if machine.kind == "control" else {})
 
 
-def output_mark(marker):
-    """What the marked plan lets a turn put out: a second mark of the plan, in another field than its adapter."""
+def output_limit_of(marker):
+    """The output limit of a turn in the plan with this adapter: a second field that identifies the plan."""
     return 63 + int(marker.rpartition("-")[2]) if marker else 64
 
 
 def blueprint_of(partner, adapter=None):
-    """A partner's plan. With the name of an adapter that only this plan uses, every binding bears its mark."""
+    """A partner's plan. If an adapter name is given, which only this plan uses, every binding has it."""
     prefix, plain, plain_name = {
         "dalatech": ("dalatech", "dalatech-results", "results"),
         "nile": ("nile", "nile-notices", "notices"),
@@ -95,7 +95,7 @@
         "pool": f"{prefix}-model",
         "urgency": "normal",
         "maxWaitSeconds": 20,
-        "maxOutput": output_mark(adapter),
+        "maxOutput": output_limit_of(adapter),
     }
     bindings = {
         "chat": chat,
--- a/packages/testbed/oakramp/testbed/powerloss.py
+++ b/packages/testbed/oakramp/testbed/powerloss.py
@@ -1,8 +1,8 @@
-"""Losses of power on a ring, at any write and any sync, over and over on the same disk.
+"""Repeated power losses of a circular log on the same disk, at any write and any sync.
 
-`PowerLosses(seed).play(count)` commits at random to a small ring until the power goes, starts the ring again, and
-compares it with what was asked for. It raises `Broken` if the ring does not open, if a commit that fired is missing, if
-what is there is not a prefix of the commits in the order of their asking, or if a commit fails while there is power.
+`PowerLosses(seed).play(count)` makes random commits to a small log until the power is lost, opens the log again, and
+compares it with the commits. It raises `Broken` if the log does not open, if a confirmed commit is missing, if the
+content is not that of a prefix of the commits in the order of their calls, or if a commit fails while there is power.
 
     python -m oakramp.testbed.powerloss FIRST_SEED SEEDS LOSSES_EACH
 """
@@ -16,19 +16,19 @@
 from oakramp.testbed.simdisk import PowerLost, SimDisk
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimTime
 
-KEYS = 5, 10, 40, 120  # keys that the commits of a ring write to; with many of them it runs full
-LONGEST = 3, 8, 20, 60  # parts of a file; the longest value of a commit is one of them
-OPERATIONS = 120  # writes and syncs between two losses of power, at most
-DEATHS = 0.15  # share of the ends that are a process's own: its writes stay, still unsynced
+KEYS = 5, 10, 40, 120  # numbers of keys that the commits write to; with many of them the log runs full
+LONGEST = 3, 8, 20, 60  # the longest value of a commit is the file size divided by one of these
+OPERATIONS = 120  # writes and syncs between two power losses, at most
+PROCESS_ENDS = 0.15  # share of ends of the process without a power loss: its unsynced writes stay on the disk
 
 
 class Broken(Exception):
-    """The ring broke its promise."""
+    """The circular log violated a guarantee."""
 
 
 class PowerLosses:
-    """Invariant: `_asked` holds the commits that the ring may hold, in order, and the first `_confirmed` of them have
-    fired; `_base` is the table before the first of them."""
+    """Invariant: `_pending` holds the commits that the log may contain, in order, and the first `_confirmed` of them
+    have been confirmed; `_base` is the table before the first of them."""
 
     def __init__(self, seed):
         self._random = random.Random(f"power {seed}")
@@ -40,12 +40,12 @@
         self._shares = self._random.choice((2, 4))
         self._hot_bytes = self._random.choice((None, 3000))
         self._key_count = self._random.choice(KEYS)
-        self._base, self._asked, self._confirmed, self._serial = {}, [], 0, 0
+        self._base, self._pending, self._confirmed, self._serial = {}, [], 0, 0
         self._ring = None
         self.losses = self.starts = self.laps = self.refusals = 0
 
     def play(self, losses):
-        """Losses of power, each at a random operation: while the ring serves, or while it starts."""
+        """Runs this many power losses, each at a random operation, in service or during a start."""
         while self.losses < losses:
             self._disk.loses_power_at = self._disk.operations + self._random.randrange(1, OPERATIONS)
             self._start_and_commit()
@@ -64,7 +64,7 @@
             if self._disk.power_is_lost:
                 return
             if self._ring.broken is not None:
-                raise Broken(f"the ring failed with power on: {self._ring.broken!r}")
+                raise Broken(f"the log failed without a power loss: {self._ring.broken!r}")
         self.laps = max(self.laps, self._ring._laps[-1])
 
     def _open(self):
@@ -79,10 +79,10 @@
                 hot_bytes=self._hot_bytes,
             )
         except OakrampError as error:
-            raise Broken(f"the ring does not open: {error}") from error
+            raise Broken(f"the log does not open: {error}") from error
 
     def _end(self):
-        if not self._disk.power_is_lost and self._random.random() < DEATHS:
+        if not self._disk.power_is_lost and self._random.random() < PROCESS_ENDS:
             self._disk.loses_power_at = None
             self._host.end(power_cut=False)
         else:
@@ -94,17 +94,17 @@
     def _commit(self):
         entries = [self._entry() for _ in range(self._random.choice((1, 1, 1, 2, 4)))]
         outcome = []
-        place = len(self._asked)
-        self._asked.append(entries)
+        position = len(self._pending)
+        self._pending.append(entries)
         self._ring.commit(entries).addCallbacks(
-            lambda _: self._confirm(place), lambda failure: outcome.append(failure.value)
+            lambda _: self._confirm(position), lambda failure: outcome.append(failure.value)
         )
         if outcome and isinstance(outcome[0], StorageFullError):
-            del self._asked[place:]
+            del self._pending[position:]
             self.refusals += 1
 
-    def _confirm(self, place):
-        self._confirmed = max(self._confirmed, place + 1)
+    def _confirm(self, position):
+        self._confirmed = max(self._confirmed, position + 1)
 
     def _entry(self):
         key = f"k{self._random.randrange(self._key_count)}"
@@ -115,17 +115,18 @@
         return key, b"%d " % self._serial + self._random.randbytes(self._random.randrange(longest))
 
     def _compare(self):
-        """What is there is a prefix of what was asked, with all that has fired; the rest is gone for good."""
-        found = dict(self._ring.table.items())
-        table, fitting = dict(self._base), None
-        for count in range(len(self._asked) + 1):
-            if count >= self._confirmed and table == found:
-                fitting = count
-            if count < len(self._asked):
-                self._apply(table, self._asked[count])
-        if fitting is None:
-            raise Broken(f"what is there is no prefix of {len(self._asked)} commits from {self._confirmed} on")
-        self._base, self._asked, self._confirmed = found, [], 0
+        """Checks that the content is that of a prefix of the commits, with all confirmed ones; the others are lost for
+        good."""
+        content = dict(self._ring.table.items())
+        table, matching = dict(self._base), None
+        for count in range(len(self._pending) + 1):
+            if count >= self._confirmed and table == content:
+                matching = count
+            if count < len(self._pending):
+                self._apply(table, self._pending[count])
+        if matching is None:
+            raise Broken(f"the content is that of no prefix of {len(self._pending)} commits from {self._confirmed} on")
+        self._base, self._pending, self._confirmed = content, [], 0
 
     @staticmethod
     def _apply(table, entries):
@@ -137,7 +138,7 @@
 
 
 def main():
-    """Prints each seed that breaks the ring, and the number of losses played."""
+    """Prints each seed that breaks the log, and the number of power losses."""
     first, seeds, losses_each = map(int, sys.argv[1:4])
     played, starts, refusals, laps, broken = 0, 0, 0, 0, 0
     for seed in range(first, first + seeds):
@@ -152,7 +153,7 @@
         refusals += case.refusals
         laps = max(laps, case.laps)
     print(
-        f"{played} losses of power, {starts} starts, {refusals} refusals, up to {laps + 1} laps; "
+        f"{played} power losses, {starts} starts, {refusals} rejected commits, up to {laps + 1} laps; "
         f"{broken} of {seeds} seeds broken"
     )
     sys.exit(bool(broken))
--- a/packages/testbed/oakramp/testbed/work.py
+++ b/packages/testbed/oakramp/testbed/work.py
@@ -1,4 +1,5 @@
-"""Counted work: how many functions run for one step, whatever the machine does meanwhile, by how much is kept."""
+"""The work of one step, as a number of function calls, which does not depend on the load of the machine, by the amount
+of stored data."""
 
 import random
 import sys
@@ -8,7 +9,7 @@
 from sortedcontainers import SortedDict
 
 from oakramp.common.structured_logging import EventLogger
-from oakramp.control import budget  # noqa: F401  it enters its controller
+from oakramp.control import budget  # noqa: F401  registers its controller
 from oakramp.control.command_context import CommandContext
 from oakramp.control.controllers import CONTROLLERS
 from oakramp.control.shard_leader import ShardLeader
@@ -25,8 +26,8 @@
 ENDPOINT = "127.0.0.1"
 
 
-def calls_of(step):
-    """How many functions, of Python and of C, `step()` calls."""
+def count_calls(step):
+    """The number of Python and C functions that `step()` calls."""
     counted = [0]
 
     def count(_frame, event, _argument):
@@ -41,16 +42,16 @@
 
 
 class TableRig:
-    """One store's table on a simulated disk, with this many lines in memory."""
+    """One store's table on a simulated disk, with this many conversations in memory."""
 
-    def __init__(self, lines):
+    def __init__(self, conversations):
         self.time = SimTime()
         self.host = SimHost(SimNetwork(self.time, random.Random(1)), ENDPOINT)
         self.disk = SimDisk(self.time, random.Random(2))
         self.disk.attach(self.host)
         self.reactor, self.node_id, self.log = SimReactor(self.host), "a", EventLogger(lambda line: None)
         self.table = ConversationTable(self, CircularLog(self.disk, self.log, 1 << 18))
-        for number in range(lines):
+        for number in range(conversations):
             self.table._insert_row(
                 f"k{number:07d}", ConversationRow("a#1", {VersionVector({"a#1": (0, 1)}): b"x"}, 0.0)
             )
@@ -60,15 +61,15 @@
         self.time.advance_to(self.time.now + 0.1)
 
 
-def store_work(lines):
-    """Functions called for a put, for a page of anti-entropy, for a look at old lines, for the ids in use."""
-    rig = TableRig(lines)
+def store_work(conversations):
+    """The functions called for a put, a page of anti-entropy, the search for old conversations, and the ids in use."""
+    rig = TableRig(conversations)
     rig.time.advance_to(100.0)
     return {
-        "put": calls_of(rig.put),
-        "page": calls_of(lambda: rig.table.keys_after("k0000300", 256)),
-        "old lines": calls_of(rig.table.expired_keys),
-        "ids in use": calls_of(rig.table.dots),
+        "put": count_calls(rig.put),
+        "page": count_calls(lambda: rig.table.keys_after("k0000300", 256)),
+        "old lines": count_calls(rig.table.expired_keys),
+        "ids in use": count_calls(rig.table.dots),
     }
 
 
@@ -80,19 +81,19 @@
         return "live"
 
 
-class _Board:
+class _StateTable:
     snapshots = {}
 
 
-def owner_work(programs):
-    """Functions called for a turn's admission and settling, and for one page of a slot's sweep."""
+def leader_work(programs):
+    """The functions called for a turn's admission and settling, and for one page of a shard's cleanup."""
     entries = SortedDict()
     for number in range(programs):
         entries[f"budget/p/g{number:06d}"] = pack_entry({"limit": 100, "spent": 0, "open": {}, "turns": 1})
         entries[f"budget/p/g{number:06d}#turn/l/t"] = pack_entry({"state": "done", "back": {}})
-    owner = ShardLeader.__new__(ShardLeader)
-    owner.entries, owner.cleanup_cursor, owner.size = entries, "", 0
-    context = CommandContext(0.0, _Members(), {}, None, _Board())
+    leader = ShardLeader.__new__(ShardLeader)
+    leader.entries, leader.cleanup_cursor, leader.size = entries, "", 0
+    context = CommandContext(0.0, _Members(), {}, None, _StateTable())
     admission = {"turn": "l/t2", "print": "x", "admission": "a", "gate": "g", "number": 1}
 
     def turn():
@@ -100,17 +101,17 @@
             ("admit", {"reserve": 8, "repeatable": False}),
             ("settle", {"units": 3, "outcome": "done"}),
         ):
-            view = Transaction(owner.entries, context)
+            view = Transaction(leader.entries, context)
             CONTROLLERS.find("budget").run(view, "budget/p/g000050", command, admission | more)
-            owner._apply(view.changes())
+            leader._apply(view.changes())
 
-    return {"turn": calls_of(turn), "sweep": calls_of(lambda: owner.next_keys(32))}
+    return {"turn": count_calls(turn), "sweep": count_calls(lambda: leader.next_keys(32))}
 
 
-def loading_time(lines, programs):
-    """Seconds of this machine's processor in which a store and a control node read what they keep, at a start."""
+def loading_time(conversations, programs):
+    """Processor seconds that a store and a control node take to load their data at a start."""
 
-    def filled(pairs):
+    def disk_with(pairs):
         time = SimTime()
         host = SimHost(SimNetwork(time, random.Random(1)), ENDPOINT)
         disk = SimDisk(time, random.Random(2))
@@ -121,8 +122,8 @@
             time.advance_to(time.now + 0.1)
         return disk, host
 
-    def timed(build, pairs):
-        disk, host = filled(pairs)
+    def loading_s(build, pairs):
+        disk, host = disk_with(pairs)
         node = SimpleNamespace(
             reactor=SimReactor(host),
             node_id="a",
@@ -146,6 +147,6 @@
         )
     ]
     return (
-        timed(ConversationTable, [(f"l/p/g{number}/l", b"a#1\0" + state) for number in range(lines)]),
-        timed(Voter, entries),
+        loading_s(ConversationTable, [(f"l/p/g{number}/l", b"a#1\0" + state) for number in range(conversations)]),
+        loading_s(Voter, entries),
     )
