--- a/packages/testbed/oakramp/testbed/explore/shrink.py
+++ b/packages/testbed/oakramp/testbed/explore/shrink.py
@@ -1,4 +1,4 @@
-"""Makes a failing schedule shorter: choices are left out as long as the same rule is still broken."""
+"""Shortens a failing schedule: leaves out choices as long as the same rule is still violated."""
 
 from oakramp.testbed.explore.explorer import replay
 
--- a/packages/testbed/oakramp/testbed/simfleet.py
+++ b/packages/testbed/oakramp/testbed/simfleet.py
@@ -66,7 +66,7 @@
 
     def start(self):
         self.starts += 1
-        self._fleet.time.graves.append(self.node)
+        self._fleet.time.retained.append(self.node)
         self.host.up = self.running = True
         env = env_of(self.machine, self._fleet.machines, "sim", self.seeds)
         if self._fleet.self_forming:
--- a/packages/testbed/oakramp/testbed/simnet.py
+++ b/packages/testbed/oakramp/testbed/simnet.py
@@ -25,12 +25,12 @@
 
 class SimTime:
     """Invariants: calls run in the order of their time, and in the order of scheduling where times are equal. What an
-    ended process was waiting for stays referenced in `graves`: if it were garbage collected, its `finally` blocks would
-    run."""
+    ended process was waiting for stays referenced in `retained`: if it were garbage collected, its `finally` blocks
+    would run."""
 
     def __init__(self):
         self.now = 0.0
-        self.graves = []
+        self.retained = []
         self._heap = []
         self._order = itertools.count()
 
@@ -54,7 +54,7 @@
         while self._heap and self._heap[0][0] <= end:
             at, _, call, host, incarnation = heapq.heappop(self._heap)
             if host is not None and host.incarnation != incarnation:
-                self.graves.append(call)
+                self.retained.append(call)
                 continue
             if call.cancelled:
                 continue
@@ -142,7 +142,7 @@
     def end(self, power_cut):
         """Ends the process. The kernel closes its connections, unless the machine lost power."""
         transports, self.transports = self.transports, {}
-        self.network.time.graves.append((transports, self.waiting_calls, self.listeners))
+        self.network.time.retained.append((transports, self.waiting_calls, self.listeners))
         self.incarnation += 1
         self.frozen, self.waiting_calls, self.listeners = False, [], {}
         self.up = not power_cut
