--- a/packages/testbed/oakramp/testbed/commands.py
+++ b/packages/testbed/oakramp/testbed/commands.py
@@ -1,5 +1,5 @@
-"""What daemons cost that have nothing to do, and what each command on owned keys costs: in counted functions, the same
-in every run, and in processor time of real processes."""
+"""The cost of idle daemons and of commands on the keys of shard leaders: as numbers of function calls, the same in
+every run, and as processor time of real processes."""
 
 import os
 import random
@@ -23,8 +23,8 @@
 
 TICKS = os.sysconf("SC_CLK_TCK")
 CLIENT = Machine("bench0", "gate", "zone0", f"{NETWORK}.240.1")
-WINDOW = 10.0  # s; of each reading, so that a tick of the kernel's count is a thousandth of a core
-QUIET = 3.0  # s; before each, so that starts and settings are over
+WINDOW = 10.0  # s; length of each measurement, so that one clock tick of the kernel is a thousandth of a core
+QUIET = 3.0  # s; before each measurement, so that the fleet has settled
 SPREAD_RATE, ONE_RATE = 300, 100  # commands a second
 BRIEF = Size(
     8,
@@ -39,16 +39,16 @@
 )
 
 
-def is_owned(client, key, owner):
-    return owner is None or client._believed(shard_of_key(key)) == owner
+def is_led_by(client, key, leader):
+    return leader is None or client._believed(shard_of_key(key)) == leader
 
 
-def claim_of(number, gate, chooser):
-    return {"print": "x" * 32, "admission": f"{chooser.getrandbits(128):032x}", "gate": gate, "number": number}
+def claim_of(number, gate, random_source):
+    return {"print": "x" * 32, "admission": f"{random_source.getrandbits(128):032x}", "gate": gate, "number": number}
 
 
 class WorkCount:
-    """Functions called on each machine of a simulated fleet, Python's and C's, without those of network and time."""
+    """Counts the Python and C functions called on each machine of a simulated fleet, without the simulator's own."""
 
     def __init__(self, fleet):
         self._names = {one.host: name for name, one in fleet.by_name.items()}
@@ -76,21 +76,21 @@
 
 
 def count_work(seed=1, seconds=5.0):
-    """Functions called a second by idle daemons, and for a command at its owner and at another voter."""
-    fleet, chooser, numbers, done = (
+    """Functions called per second by idle daemons, and for a command at its shard leader and at another voter."""
+    fleet, random_source, numbers, done = (
         SimFleet(seed, BRIEF, ring_file_size=1 << 22).bring_up(),
         random.Random(seed),
         count(1),
         [],
     )
     fleet.run(QUIET)
-    work, gate, owner = WorkCount(fleet), fleet["gate0"].node.node, fleet["control0"]
+    work, gate, leader = WorkCount(fleet), fleet["gate0"].node.node, fleet["control0"]
     client = ShardClient(gate)
     idle = work.during(fleet, seconds)
     results = {"idle, functions a second": _by_kind(fleet, idle)}
 
-    async def pair(key):
-        claim = claim_of(next(numbers), gate.node_id, chooser)
+    async def claim_and_finish(key):
+        claim = claim_of(next(numbers), gate.node_id, random_source)
         for command in ("claim", "finish"):
             asked_at = fleet.time.now
             await client.call(key, command, claim, 5.0)
@@ -98,17 +98,17 @@
 
     async def arrive(until, address):
         while fleet.time.now < until:
-            await sleep(gate.reactor, chooser.expovariate(ONE_RATE / 2))
-            key = next(key for number in numbers if is_owned(client, key := f"claim/bench/k{number}", address))
-            spawn(pair(key), fleet.lab_log)
+            await sleep(gate.reactor, random_source.expovariate(ONE_RATE / 2))
+            key = next(key for number in numbers if is_led_by(client, key := f"claim/bench/k{number}", address))
+            spawn(claim_and_finish(key), fleet.lab_log)
 
-    for name, address in (("one owner", owner.machine.peer), ("spread over all owners", None)):
+    for name, address in (("one owner", leader.machine.peer), ("spread over all owners", None)):
         done.clear()
         spawn(arrive(fleet.time.now + seconds - 1.0, address), fleet.lab_log)
         spent = work.during(fleet, seconds)
         used = {one.name: (spent[one.name] - idle[one.name]) * seconds / len(done) for one in fleet.of_kind("control")}
         results[f"{name}, functions a command"] = (
-            {"owner": round(used[owner.name]), "another voter": round((sum(used.values()) - used[owner.name]) / 4)}
+            {"owner": round(used[leader.name]), "another voter": round((sum(used.values()) - used[leader.name]) / 4)}
             if address
             else {"each of five": round(sum(used.values()) / 5)}
         )
@@ -119,14 +119,14 @@
 
 
 def processor_seconds(process_id):
-    """Of all threads of this process, by the kernel's count."""
+    """Processor time of all threads of this process, as the kernel counts it."""
     with open(f"/proc/{process_id}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 class Bench:
-    """A fleet of the brief's size, and a client of its own that asks the owners as gates do."""
+    """A fleet of the required size, and a client of its own that calls the shard leaders as gateways do."""
 
     def __init__(self, reactor, folder, seed):
         self.reactor, self.random = reactor, random.Random(seed)
@@ -143,8 +143,8 @@
         while any(self.client._believed(shard) is None for shard in range(32)):
             await sleep(self.reactor, 0.1)
 
-    async def seconds_of_all(self, window=WINDOW):
-        """Processor seconds a second of each daemon within the window."""
+    async def processor_shares(self, window=WINDOW):
+        """The processor share of each daemon within the window."""
         readings = [
             {machine.name: processor_seconds(self.fleet.process_id(machine.name)) for machine in self.fleet.machines}
         ]
@@ -156,14 +156,14 @@
             for name, before in readings[0].items()
         }
 
-    def _key(self, owner):
+    def _key(self, leader):
         while True:
             key = f"claim/bench/k{next(self._numbers)}"
-            if is_owned(self.client, key, owner):
+            if is_led_by(self.client, key, leader):
                 return key
 
-    async def _pair(self, key):
-        """A claim and its end: two commands, each a majority write."""
+    async def _claim_and_finish(self, key):
+        """A claim and its completion: two commands, each with one majority write."""
         claim = claim_of(next(self._numbers), self.node.node_id, self.random)
         try:
             for command in ("claim", "finish"):
@@ -173,8 +173,8 @@
         except OakrampError as error:
             self.failed[error.code] += 1
 
-    async def load(self, rate, owner=None):
-        """(processor share by daemon, commands a second) under this many commands a second in random steps."""
+    async def load(self, rate, leader=None):
+        """(processor share by daemon, commands per second) under this rate of commands, with random arrivals."""
         self.times, works, running = [], [], [True]
 
         async def arrive():
@@ -182,12 +182,12 @@
             while running:
                 due += self.random.expovariate(rate / 2)
                 await sleep(self.reactor, due - self.reactor.seconds())
-                works.append(spawn(self._pair(self._key(owner))))
+                works.append(spawn(self._claim_and_finish(self._key(leader))))
 
         arriving = spawn(arrive())
         await sleep(self.reactor, QUIET)
         before = len(self.times)
-        shares = await self.seconds_of_all()
+        shares = await self.processor_shares()
         done = (len(self.times) - before) / WINDOW
         running.clear()
         await arriving
@@ -208,7 +208,7 @@
     try:
         await bench.bring_up()
         await sleep(reactor, QUIET)
-        idle = await bench.seconds_of_all()
+        idle = await bench.processor_shares()
         by_kind = defaultdict(list)
         for machine in bench.fleet.machines:
             by_kind[machine.kind].append(machine.name)
@@ -224,11 +224,11 @@
                 "done a second": done,
                 "ms (median, 99th)": bench.percentiles(),
             }
-        owner = bench.fleet.of_kind("control")[0]
-        shares, done = await bench.load(ONE_RATE, owner.peer)
-        voters = [name for name in controls if name != owner.name]
+        leader = bench.fleet.of_kind("control")[0]
+        shares, done = await bench.load(ONE_RATE, leader.peer)
+        voters = [name for name in controls if name != leader.name]
         results[f"one owner, {ONE_RATE} a second"] = {
-            "us a command at the owner": round(1e6 * (shares[owner.name] - idle[owner.name]) / done),
+            "us a command at the owner": round(1e6 * (shares[leader.name] - idle[leader.name]) / done),
             "us at another voter": round(1e6 * (_mean(shares, voters) - _mean(idle, voters)) / done),
             "done a second": done,
             "ms (median, 99th)": bench.percentiles(),
--- a/packages/testbed/oakramp/testbed/failover.py
+++ b/packages/testbed/oakramp/testbed/failover.py
@@ -1,6 +1,6 @@
-"""How long a fleet goes without service after one owner of the control state fails, on simulated time.
+"""Duration of the outage after the failure of one shard leader of the control state, on simulated time.
 
-Each trial brings a fleet of its own up, so a seed gives the same figures in every run.
+Each trial starts a fleet of its own, so a seed gives the same figures in every run.
 """
 
 from dataclasses import dataclass, field
@@ -15,16 +15,16 @@
 
 PARTNER = "dalatech"
 PLAN_KEY = f"blueprint/{PARTNER}"
-ORDER_PATIENCE = 1.0  # s; an operator that has no answer for so long asks another node
-ORDER_PAUSE = 0.2  # s; what an operator is told to wait after a 503
+ORDER_TIMEOUT = 1.0  # s; an operator without a response for so long tries another node
+ORDER_PAUSE = 0.2  # s; an operator waits so long after a 503
 ORDER_EVERY = 0.05  # s; between two orders while a member stops
-WATCHED = 2.0  # s; for which orders still come once the member has stopped
+WATCHED = 2.0  # s; orders are still sent for so long after the member has stopped
 OUTAGE_LIMIT = 30.0  # s; a trial that takes longer has failed
 
 
 @dataclass
 class FailoverTrial:
-    """Seconds after the fault, by what happened first for the plan's slot."""
+    """Seconds from the fault to each event of the failover of the plan's shard."""
 
     fault: str
     seed: int
@@ -36,7 +36,7 @@
 
 @dataclass
 class StopTrial:
-    """How long each order took that was given while a member stopped, in seconds."""
+    """The duration in seconds of each order that was sent while a member stopped."""
 
     seed: int
     orders: list = field(default_factory=list)
@@ -60,7 +60,7 @@
 
 
 def _restart(pause):
-    """Killed, and started again after so many seconds."""
+    """A fault that kills the node and starts it again after so many seconds."""
 
     def restart(fleet, victim):
         victim.kill()
@@ -80,15 +80,15 @@
 }
 
 
-class OrderGiver:
-    """An operator that gives orders through one node after another, never through the one left out."""
+class OrderSender:
+    """An operator that sends orders through one node after another, except those in `left_out`."""
 
     def __init__(self, fleet, left_out=()):
         self._fleet, self._reactor = fleet, fleet.operator_reactor
         self._addresses = [one.machine.http for one in fleet.of_kind("control") if one not in left_out]
 
-    async def give(self):
-        """Seconds until this order was acknowledged."""
+    async def send(self):
+        """Sends one order; returns the seconds until it was acknowledged."""
         started_at = self._reactor.seconds()
         address = self._fleet.random.choice(self._addresses)
         while True:
@@ -97,18 +97,19 @@
             address = self._addresses[(self._addresses.index(address) + 1) % len(self._addresses)]
 
     async def _is_acknowledged(self, address):
-        """One try: the plan's version is read from its owner inside its lease, and a change is built on it."""
+        """One attempt: reads the plan's version, which its leader answers within its lease, and sends a change based on
+        it."""
         client = self._fleet.operator._client
         try:
-            status, said = await client.json("GET", address, f"/v1/blueprints/{PARTNER}", None, ORDER_PATIENCE)
+            status, response = await client.json("GET", address, f"/v1/blueprints/{PARTNER}", None, ORDER_TIMEOUT)
             if status == 200:
                 change = {
                     "changeId": f"c{self._fleet.random.getrandbits(64):x}",
-                    "basedOn": said["version"],
+                    "basedOn": response["version"],
                     "blueprint": blueprint_of(PARTNER, f"{PARTNER}-plan-1"),
                 }
-                status, _ = await client.json("PUT", address, f"/v1/blueprints/{PARTNER}", change, ORDER_PATIENCE)
-                if status in (200, 409):  # 409: another order came first, which a majority has
+                status, _ = await client.json("PUT", address, f"/v1/blueprints/{PARTNER}", change, ORDER_TIMEOUT)
+                if status in (200, 409):  # 409: another order came first, and a majority has it
                     return True
         except OakrampError:
             return False
@@ -116,14 +117,14 @@
         return False
 
 
-def _owner_of(fleet, key):
+def _leader_of(fleet, key):
     shard = shard_of_key(key)
     return next(one for one in fleet.of_kind("control") if one.running and shard in one.node.leaders.active)
 
 
-def _program_owned_by(fleet, owner):
-    """A program's name whose budget this machine owns."""
-    held = owner.node.leaders.active
+def _program_led_by(fleet, leader):
+    """The name of a program whose budget this machine leads."""
+    held = leader.node.leaders.active
     return next(name for number in range(10000) if shard_of_key(f"budget/{PARTNER}/{(name := f'p{number}')}") in held)
 
 
@@ -140,19 +141,19 @@
 
 
 def run_failover(fault, seed):
-    """One owner fails; an order and a turn that need it are given at that moment."""
+    """One shard leader fails; an order and a turn that need it are sent at that moment."""
     fleet = SimFleet(seed, piece_time=0.0).bring_up()
-    victim = _owner_of(fleet, PLAN_KEY)
-    program = _program_owned_by(fleet, victim)
+    victim = _leader_of(fleet, PLAN_KEY)
+    program = _program_led_by(fleet, victim)
     fleet.until(fleet.client.open_program(PARTNER, program, 100000))
     fleet.run(2.0 + fleet.random.uniform(0.0, 0.5))
-    victim = _owner_of(fleet, PLAN_KEY)
+    victim = _leader_of(fleet, PLAN_KEY)
     failed_at = fleet.time.now
     FAULTS[fault](fleet, victim)
     trial = FailoverTrial(fault, seed)
 
     async def order():
-        trial.order = await OrderGiver(fleet, [victim]).give()
+        trial.order = await OrderSender(fleet, [victim]).send()
 
     async def turn():
         asked = await fleet.client.turn(PARTNER, program, "l", None, "abc")
@@ -168,14 +169,14 @@
 
 
 def run_planned_stop(seed):
-    """The plan's owner stops as planned while orders come steadily through the other members."""
+    """The leader of the plan's shard stops gracefully, while orders are sent steadily through the other members."""
     fleet = SimFleet(seed).bring_up()
     fleet.run(2.0 + fleet.random.uniform(0.0, 0.5))
-    victim = _owner_of(fleet, PLAN_KEY)
-    trial, giver = StopTrial(seed), OrderGiver(fleet, [victim])
+    victim = _leader_of(fleet, PLAN_KEY)
+    trial, sender = StopTrial(seed), OrderSender(fleet, [victim])
 
     async def one_order():
-        trial.orders.append(await giver.give())
+        trial.orders.append(await sender.send())
 
     victim.stop()
     works, stopped_at = [], None
@@ -189,9 +190,8 @@
     return trial
 
 
-def false_takeovers(seed, freeze=0.5, rounds=10):
-    """How many slots change hands, and how many members count as silent, while each control node in turn is frozen for
-    so long."""
+def count_needless_failovers(seed, freeze=0.5, rounds=10):
+    """The number of failovers that start while each control node in turn is frozen for so long."""
     fleet = SimFleet(seed).bring_up()
     fleet.run(3.0)
     since = len(fleet.lines)
@@ -204,14 +204,14 @@
     return sum("event=failover_started " in line for line in fleet.lines[since:])
 
 
-def share(times, part):
-    """The value that so much of the times do not exceed."""
+def share(times, fraction):
+    """The percentile of the times at this share."""
     ordered = sorted(times)
-    return round(ordered[min(len(ordered) - 1, int(part * len(ordered)))], 2)
+    return round(ordered[min(len(ordered) - 1, int(fraction * len(ordered)))], 2)
 
 
 def measure_failover(seed, trials=20):
-    """Figures of all faults, by name."""
+    """The figures of all faults, by name."""
     figures = {}
     for fault in FAULTS:
         runs = [run_failover(fault, seed + number) for number in range(trials)]
@@ -225,6 +225,6 @@
     held = [took for number in range(trials) for took in run_planned_stop(seed + number).orders]
     figures["planned stop: order"] = {"95 of 100": share(held, 0.95), "worst": round(max(held), 2)}
     figures["frozen for 0.5 s, ten times: slots taken over"] = sum(
-        false_takeovers(seed + number) for number in range(5)
+        count_needless_failovers(seed + number) for number in range(5)
     )
     return figures
--- a/packages/testbed/oakramp/testbed/fleet_cost.py
+++ b/packages/testbed/oakramp/testbed/fleet_cost.py
@@ -1,7 +1,7 @@
-"""What a fleet spends in processor time, calls and bytes while it is quiet, under load, and after a loss of power.
+"""The processor time, calls and bytes of a fleet while it is idle, under load, and after a power loss.
 
-Counts and bytes are the same in every run of a seed. Processor time is this machine's, of the product's code and the
-simulator around it, without any kernel: it compares two states of the code on one machine, no more.
+Counts and bytes are the same in every run of a seed. Processor time is that of this machine for the product's code and
+the simulator, without any kernel: it only serves to compare two versions of the code on one machine.
 """
 
 import time
@@ -19,15 +19,15 @@
     ("nile-notices", "plain", 2),
 )
 SIZES = {"small site": Size(8, 3, 5, REPLICAS), "grown site": Size(65, 10, 9, REPLICAS)}
-WARM_UP = 2.0  # s; after the fleet has come up, until it is quiet
-MEASURED = 4.0  # s; of each phase
-DOWN = 1.0  # s; between the loss of power and the start of all machines
-CALLERS = 16  # callers; each asks for one turn or call after another
+WARM_UP = 2.0  # s; from the start of the fleet until it is idle
+MEASURED = 4.0  # s; duration of each phase
+DOWN = 1.0  # s; between the power loss and the start of all machines
+CLIENTS = 16  # each sends one turn or call after another
 
 
 @dataclass
 class Counters:
-    """What has been spent since the fleet began: seconds of processor, calls by (role, method), bytes by role."""
+    """The cost since the start of the fleet: processor seconds, calls by (role, method), bytes by role."""
 
     processor_s: float
     calls: Counter
@@ -35,7 +35,7 @@
 
     @classmethod
     def of(cls, fleet):
-        """The counters as they stand now, calls those of the processes that run."""
+        """The current counters; the calls are those of the running processes."""
         calls, sent_bytes = Counter(), Counter()
         for machine in fleet.by_name.values():
             role = machine.machine.kind
@@ -44,7 +44,7 @@
         return cls(time.process_time(), calls, sent_bytes)
 
     def since(self, earlier, seconds, fleet):
-        """The rows of a phase that lasted so many simulated seconds: each by node and second."""
+        """The rows of a phase of so many simulated seconds: the cost per node and second."""
         nodes = Counter(machine.machine.kind for machine in fleet.by_name.values())
         rows = {"processor ms": round(1000 * (self.processor_s - earlier.processor_s) / seconds / nodes.total(), 2)}
         for role in ROLES:
@@ -64,13 +64,13 @@
 
 
 def measure_fleet_cost(seed, sizes=SIZES):
-    """Rows by size and phase; see the module."""
+    """The rows by size and phase; see the module's docstring."""
     results = {}
     for name, size in sizes.items():
         fleet = SimFleet(seed, size, ring_file_size=1 << 20).bring_up()
         fleet.run(WARM_UP)
         results[f"{name}, quiet"] = _phase(fleet)
-        fleet.start_mix(MEASURED, clients=CALLERS)
+        fleet.start_mix(MEASURED, clients=CLIENTS)
         results[f"{name}, under load"] = _phase(fleet)
         results[f"{name}, after a loss of power"] = _power_loss(fleet)
     return results
@@ -83,7 +83,7 @@
 
 
 def _power_loss(fleet):
-    """The seconds from the start of all machines on; their former processes' calls are left out on both sides."""
+    """The cost from the start of all machines on; calls of their former processes count on neither side."""
     for machine in fleet.by_name.values():
         machine.power_cut()
     fleet.run(DOWN)
--- a/packages/testbed/oakramp/testbed/main.py
+++ b/packages/testbed/oakramp/testbed/main.py
@@ -1,4 +1,4 @@
-"""oakramp-testbed: whole fleets on one machine, stand-ins, simulator."""
+"""oakramp-testbed: whole fleets on one machine, emulators of external systems, and the simulator."""
 
 import multiprocessing
 import signal
@@ -30,16 +30,25 @@
 from oakramp.testbed.rush_sizing import ORDER_POLICIES, SIZING_SCENES, play_orders
 from oakramp.testbed.trial import DAYS, run_day, run_trial
 
-RUSH_RATES = (8, 16, 24, 32, 40, 48, 64, 96)  # programs a second; the replicas of the model serve some 38 in time
+RUSH_RATES = (
+    8,
+    16,
+    24,
+    32,
+    40,
+    48,
+    64,
+    96,
+)  # programs per second; the replicas of the model complete about 38 of them in time
 
 SIZE = click.option(
     "--size",
     type=click.Choice(sorted(SIZES)),
     default="small",
     show_default=True,
-    help="How many machines and replicas.",
+    help="Number of machines and replicas.",
 )
-FOLDER = click.option("--folder", default="fleet-run", show_default=True, help="Where data folders and logs go.")
+FOLDER = click.option("--folder", default="fleet-run", show_default=True, help="Folder for data and logs.")
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -53,7 +62,7 @@
 @main.command()
 @SIZE
 def standins(size):
-    """Stand-in replicas, services and platform for a fleet of this size."""
+    """Emulates the replicas, services and platform of a fleet of this size."""
     reactor = monotonic_reactor()
     platform, _ = build_standins(
         reactor, PLATFORM, replica_rows(SIZES[size]), EventLogger(stderr_sink(), node="standins"), adapters=MARKERS
@@ -66,7 +75,7 @@
 @SIZE
 @FOLDER
 def up(size, folder):
-    """Brings a fleet up, with both partners' plans, and keeps it until Ctrl-C."""
+    """Starts a fleet with the plans of both partners, and runs it until Ctrl-C."""
     fleet = Fleet(folder, size)
 
     def ended(*_):
@@ -99,8 +108,8 @@
 @main.command("fleet")
 @click.option("--size", type=click.Choice(sorted(SIZES)), default="brief", show_default=True)
 @FOLDER
-@click.option("--seconds", default=20, show_default=True, help="How long callers go on.")
-@click.option("--callers", default=24, show_default=True, help="How many callers at once.")
+@click.option("--seconds", default=20, show_default=True, help="Duration of the load.")
+@click.option("--callers", default=24, show_default=True, help="Number of concurrent clients.")
 @click.option("--seed", default=1, show_default=True)
 @click.option(
     "--event",
@@ -108,10 +117,10 @@
     default="none",
     show_default=True,
     help="rolling: every daemon is restarted in turn; kill: one of each kind is killed and started; "
-    "outage: all at once.",
+    "outage: all are killed at once.",
 )
 def fleet_trial(size, folder, seconds, callers, seed, event):
-    """Runs a fleet of the brief's size under load, and checks every rule against the stand-ins' record."""
+    """Runs a fleet of real processes under load, and checks every rule against the record of the emulated replicas."""
     reactor = monotonic_reactor()
     fleet = Fleet(folder, size)
     trial = RealTrial(reactor, fleet, seed)
@@ -139,7 +148,7 @@
     reactor.run()
     if "failure" not in outcome:  # a signal ended it
         fleet.down()
-        raise click.ClickException("the trial was ended before it was over")
+        raise click.ClickException("the trial was interrupted")
     if outcome["failure"] is not None:
         raise click.ClickException(outcome["failure"].getTraceback())
     bad = _print_report(outcome["report"])
@@ -196,13 +205,13 @@
 
 
 @main.command()
-@click.option("--seeds", default=8, show_default=True, help="How many seeds.")
+@click.option("--seeds", default=8, show_default=True, help="Number of seeds.")
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.option("--seconds", default=40.0, show_default=True, help="Simulated seconds of load and faults in each.")
 @click.option("--day", type=click.Choice(DAYS.names()), help="A partner's day instead of random faults.")
-@click.option("--timelines/--no-timelines", default=True, help="Print the timeline of a seed that failed.")
+@click.option("--timelines/--no-timelines", default=True, help="Print the timeline of a failed seed.")
 def search(seeds, first, seconds, day, timelines):
-    """Simulated trials of random overlapping faults, one for each seed, on all cores."""
+    """Runs simulated trials of random overlapping faults, one for each seed, on all cores."""
     failed, caused, near, unserved = 0, Counter(), Counter(), 0.0
     with multiprocessing.Pool() as pool:
         run = partial(run_day, day) if day else partial(run_trial, load_time=seconds)
@@ -231,7 +240,7 @@
 @click.argument("names", nargs=-1)
 @click.option("--seed", default=1, show_default=True)
 def measure(names, seed):
-    """Measurements on the simulated fleet; all of them if none is named. One slope alone: capacity.NAME."""
+    """Runs measurements on the simulated fleet; all of them if none is named. A single slope: capacity.NAME."""
     for name in names or MEASURES.names():
         kind, _, slope = name.partition(".")
         try:
@@ -244,11 +253,11 @@
 
 
 @main.command()
-@click.option("--rate", "rates", multiple=True, type=float, help="Programs a second; several may be given.")
+@click.option("--rate", "rates", multiple=True, type=float, help="Programs per second; may be repeated.")
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--plot", "plot_file", type=click.File("w"), help="Where a plot of it is written, as SVG.")
+@click.option("--plot", "plot_file", type=click.File("w"), help="File for a plot, as SVG.")
 def rush(rates, seeds, plot_file):
-    """What policies earn of more programs than the replicas can serve in time: programs' worth a second."""
+    """Goodput of admission policies when more programs arrive than the replicas can serve in time."""
     rates, earned = rates or RUSH_RATES, {name: [] for name in POLICIES.names()}
     click.echo("programs/s  " + "  ".join(f"{name:>12}" for name in earned))
     for rate in rates:
@@ -262,7 +271,7 @@
 @main.command("rush-orders")
 @click.option("--seeds", default=3, show_default=True)
 def rush_orders(seeds):
-    """What orders of replicas earn and cost: share of programs' worth earned, and replica-seconds paid."""
+    """Benefit and cost of autoscaling policies: share of the programs' value earned, and replica-seconds paid."""
     for what, scene in SIZING_SCENES.items():
         for policy in ORDER_POLICIES:
             sites = [play_orders(policy, scene, seed) for seed in range(seeds)]
@@ -274,10 +283,10 @@
 
 @main.command()
 @click.argument("name", required=False)
-@click.option("--into", type=click.Path(exists=False), help="The folder of the variant; it must not exist.")
+@click.option("--into", type=click.Path(exists=False), help="Folder for the variant; it must not exist.")
 @click.option("--root", default=".", show_default=True, type=click.Path(exists=True), help="The checkout.")
 def ablation(name, into, root):
-    """Makes a variant of the checkout without one mechanism; without a NAME, lists the mechanisms."""
+    """Creates a variant of the checkout with one mechanism disabled; without a NAME, lists the mechanisms."""
     if name is None:
         for one in ABLATIONS:
             click.echo(f"{one.name}: {one.purpose}")
@@ -295,7 +304,7 @@
 @click.argument("names", nargs=-1)
 @click.option("--root", default=".", show_default=True, type=click.Path(exists=True), help="The checkout.")
 def takeout(names, root):
-    """Takes each mechanism out once, in a copy, and tells whether the test named for it then fails."""
+    """Removes each mechanism once, in a copy of the code, and reports whether the test named for it then fails."""
     stays = 0
     for one, outcome in try_all(root, names):
         stays += outcome != "fails"
--- a/packages/testbed/oakramp/testbed/mutation_testing.py
+++ b/packages/testbed/oakramp/testbed/mutation_testing.py
@@ -1,4 +1,4 @@
-"""Takes one mechanism out at a time, in a copy of the code, and looks whether the test named for it fails."""
+"""Removes one mechanism at a time in a copy of the code, and checks that the test named for it fails."""
 
 import os
 import shutil
@@ -11,7 +11,7 @@
 
 
 def try_without(one, root):
-    """Whether the named test fails without the mechanism."""
+    """Applies the mutation to a copy and runs its test; returns the mutation and the outcome, "fails" as it should."""
     with tempfile.TemporaryDirectory() as folder:
         packages = os.path.join(folder, "packages")
         shutil.copytree(os.path.join(root, "packages"), packages)
@@ -28,7 +28,7 @@
             "PYTHONPATH": os.pathsep.join(os.path.join(packages, name) for name in sorted(os.listdir(packages)))
         }
         done = subprocess.run(
-            # Without unittest.cfg: its parallel runner runs all tests of a class that is set up as one.
+            # Without unittest.cfg: its parallel runner runs all tests of a class with a common set-up together.
             [os.path.join(os.path.dirname(sys.executable), "nose2"), "-s", "tests", one.test],
             cwd=folder,
             env=env,
@@ -42,7 +42,7 @@
 
 
 def try_all(root, names=()):
-    """Yields (mutation, outcome) of each named one, or of all; the outcome is "fails" where its test does."""
+    """Yields (mutation, outcome) for the named mutations, or for all; the outcome is "fails" if the test fails."""
     chosen = [one for one in CODE_MUTATIONS if not names or one.name in names]
     with ThreadPool(os.cpu_count()) as pool:
         yield from pool.imap(lambda one: try_without(one, root), chosen)
--- a/packages/testbed/oakramp/testbed/rush_plot.py
+++ b/packages/testbed/oakramp/testbed/rush_plot.py
@@ -1,4 +1,4 @@
-"""A plot of what policies earn against what is asked for, as an SVG file."""
+"""A plot of the goodput of policies against the offered load, as an SVG file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 def plot(rates: Sequence[float], earned: Mapping[str, Sequence[float]]) -> str:
-    """The SVG text; `earned` has, by policy, the worth earned a second at each of these rates of programs a second."""
+    """The SVG text; `earned` has, by policy, the value earned per second at each of these rates of programs per
+    second."""
     most_x, most_y = max(rates), max(value for values in earned.values() for value in values)
 
     def x(value: float) -> float:
