--- a/packages/testbed/oakramp/testbed/capacity.py
+++ b/packages/testbed/oakramp/testbed/capacity.py
@@ -1,8 +1,9 @@
-"""Slopes of what each role costs, for docs/CAPACITY.md: against nodes, voters, replicas listed, routes and what is
-kept.
+"""The slopes of each role's cost, for docs/CAPACITY.md: over the number of nodes, voters, listed replicas, routes and
+stored entries.
 
 Counts, bytes and simulated times come from the simulator and are the same in every run of a seed. Processor times are
-this machine's, of one thread, and memory is what the interpreter gave out: both move by some per cent from run to run.
+those of one thread on this machine, and memory is what the interpreter allocated: both vary by some per cent between
+runs.
 """
 
 import gc
@@ -43,7 +44,7 @@
 from oakramp.testbed.simnet import SimHost, SimNetwork, SimReactor, SimTime
 
 SLOPES = Registry("slope")
-NODES = (16, 32, 64, 128)  # a simulated fleet; 256 takes a quarter of an hour of one core
+NODES = (16, 32, 64, 128)  # of a simulated fleet; 256 nodes take a quarter of an hour on one core
 VOTERS = (3, 5, 9, 15)
 LISTED = (10, 100, 1000, 2000, 12000)
 KNOWN = (16, 128, 512, 1200)
@@ -51,7 +52,7 @@
 TENANTS = (10, 100, 1300)
 CONFIGURED = (10, 100, 1000, 13000)  # routes of the operator's document: ten for each of 1,300 tenants
 KEPT = (1000, 10000)
-QUIET = 2.0  # simulated s
+QUIET = 2.0  # simulated s without load
 FEW = (
     ("dalatech-model", "model", 1),
     ("dalatech-results", "plain", 1),
@@ -61,13 +62,13 @@
 
 
 def line_through(points):
-    """(fixed part, part for each unit) of the line that lies nearest to these (x, y) points."""
+    """The intercept and slope of the least squares line through these (x, y) points."""
     if len(points) < 2 or len({x for x, _ in points}) < 2:
-        raise ValueError("a slope needs two points at least")
-    middle_x = sum(x for x, _ in points) / len(points)
-    middle_y = sum(y for _, y in points) / len(points)
-    slope = sum((x - middle_x) * (y - middle_y) for x, y in points) / sum((x - middle_x) ** 2 for x, _ in points)
-    return middle_y - slope * middle_x, slope
+        raise ValueError("a slope needs points with two different sizes at least")
+    mean_x = sum(x for x, _ in points) / len(points)
+    mean_y = sum(y for _, y in points) / len(points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum((x - mean_x) ** 2 for x, _ in points)
+    return mean_y - slope * mean_x, slope
 
 
 def show_line(points, unit):
@@ -80,7 +81,7 @@
 
 @dataclass
 class Traffic:
-    """What one node has sent and received, by method: bytes of frames, and calls asked."""
+    """The traffic of one node by method: bytes of frames sent and received, calls made and calls replied to."""
 
     sent: Counter = field(default_factory=Counter)
     received: Counter = field(default_factory=Counter)
@@ -93,7 +94,7 @@
 
 @contextmanager
 def wire_meter():
-    """Counts the frames of all nodes in this process: gives node id -> Traffic, as long as it is open."""
+    """A context that counts the frames of all nodes in this process; its value maps each node id to its Traffic."""
     traffic, methods = {}, {}
     original = {
         name: getattr(Connection, name) for name in ("call", "_send_reply", "_handle_reply", "_serve", "sendString")
@@ -155,7 +156,7 @@
 
 
 class ProcessorMeter:
-    """Processor seconds that each simulated host's own calls have taken, from now on."""
+    """Measures the processor seconds of the calls of each simulated host, from its construction on."""
 
     def __init__(self, fleet):
         self.busy = Counter()
@@ -180,8 +181,9 @@
 
 
 @contextmanager
-def no_collecting():
-    """The simulator's heap is that of a whole fleet, so its collections say nothing of one node."""
+def without_collecting():
+    """A context without garbage collection: the heap is that of a whole simulated fleet, so the cost of a collection
+    says nothing about one node."""
     gc.collect()
     gc.disable()
     try:
@@ -191,7 +193,7 @@
 
 
 def memory_of(build):
-    """(what `build()` gives, bytes that it holds)."""
+    """(the result of `build()`, the bytes of memory that it holds)."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -204,7 +206,8 @@
 
 
 def time_of(step, times=9):
-    """Processor milliseconds of one `step()`: the least of several, since neighbours on the machine only add to it."""
+    """Processor milliseconds of one `step()`: the minimum of several runs, since other load on the machine only adds to
+    it."""
     taken = []
     for _ in range(times):
         began = thread_time()
@@ -213,7 +216,7 @@
     return min(taken)
 
 
-# --- against nodes -------------------------------------------------------------
+# --- over the number of nodes -------------------------------------------------------------
 
 
 def _fleet(seed, gates, controls=5):
@@ -221,9 +224,9 @@
 
 
 def _quiet(fleet, meter):
-    """What a node of each kind costs when nothing happens: bytes, calls and processor share, in a second."""
+    """The cost of an idle node of each kind per second: bytes, calls and processor share."""
     busy, result = dict(meter.busy), {}
-    with wire_meter() as traffic, no_collecting():
+    with wire_meter() as traffic, without_collecting():
         fleet.run(QUIET)
     for kind in ("control", "gate"):
         machines = fleet.of_kind(kind)
@@ -243,7 +246,8 @@
 
 
 def _changes(fleet, count=5):
-    """One binding changed by name: how often it reached a node, its bytes, and seconds until it is at all gates."""
+    """The cost of a plan's change: how often it reaches a node, its bytes, and the seconds until all gateways have
+    it."""
     arrivals, delays = [], []
     state_tables = [one.node.node.state_table for one in fleet.by_name.values()]
     for state_table in state_tables:
@@ -260,10 +264,10 @@
                 "nile", version, blueprint_of("nile", f"nile-plan-{version + 1}"), f"nile-plan-{version + 1}"
             )
         )
-        said_at = fleet.time.now
+        accepted_at = fleet.time.now
         while any(state_table.snapshots["blueprint/nile"].version < sent.version for state_table in gates):
             fleet.run(0.01)
-        delays.append(fleet.time.now - said_at)
+        delays.append(fleet.time.now - accepted_at)
         fleet.run(0.5)
     for state_table in state_tables:
         del state_table.merge_snapshots
@@ -275,8 +279,9 @@
 
 
 def _failures(fleet):
-    """A gate, then a control node is killed: seconds until all control nodes count it as silent, and until each of
-    its slots is served by another; and how often a sound node was counted as silent before that."""
+    """A gateway, then a control node is killed: seconds until all control nodes consider the gateway silent, and until
+    each shard of the control node has another leader; and how often a healthy node was considered silent before
+    that."""
     controls, looks, alarms = fleet.of_kind("control"), 0, 0
     ids = [one.node.node.node_id for one in fleet.by_name.values()]
     for _ in range(10):
@@ -291,16 +296,16 @@
     silent_at = fleet.wait_for(
         "detection", lambda: all(one.node.node.members.condition(gate_id) == SILENT for one in controls), 60
     )
-    owner = controls[0]
-    lost, owner_killed_at = set(owner.node.leaders.active), fleet.time.now
-    owner.kill()
-    taken_at = fleet.wait_for(
+    leader = controls[0]
+    lost, leader_killed_at = set(leader.node.leaders.active), fleet.time.now
+    leader.kill()
+    failover_at = fleet.wait_for(
         "take-over", lambda: lost <= {shard for one in controls[1:] for shard in one.node.leaders.active}, 120
     )
     return {
         "false alarms": f"{alarms} of {looks} looks",
         "s to detect": round(silent_at - killed_at, 2),
-        f"s to take over {len(lost)} slots": round(taken_at - owner_killed_at, 2),
+        f"s to take over {len(lost)} slots": round(failover_at - leader_killed_at, 2),
     }
 
 
@@ -326,21 +331,21 @@
 
 @SLOPES.enter("nodes")
 def nodes_slope(seed=1):
-    """Fleets of 16 to 128 nodes, five of them control, three stores: quiet, changed and with failures."""
+    """Fleets of 16 to 128 nodes, with five control nodes and three stores: idle, with changes and with failures."""
     return measure_nodes(seed, NODES)
 
 
 @SLOPES.enter("nodes-256")
 def nodes_slope_large(seed=1):
-    """The same with 256 nodes, on its own since it takes long."""
+    """The same with 256 nodes, separate because it takes long."""
     return measure_nodes(seed, (256,))
 
 
-# --- what one node keeps of all others, at full size ----------------------------------
+# --- what one node stores of all others, at full size ----------------------------------
 
 
-def _known(count):
-    """A simulated gate that has heard of so many others just now."""
+def _gateway_knowing(count):
+    """A simulated gateway that has just learned of so many other nodes."""
     fleet = SimFleet(1, Size(1, 1, 1, FEW))
     one = fleet["gate0"]
     one.start()
@@ -373,7 +378,7 @@
 
 
 def _pull_cost(state_table, me):
-    """A pull in which nothing has moved: bytes of both messages, processor milliseconds of both sides."""
+    """The cost of a pull without changes: bytes of both messages, processor milliseconds of both sides."""
     seen = state_table.known_versions()
     asked_bytes = pack(idl.pull_args(seen=seen, me=me))
     answer_bytes = pack(idl.pull_result(success=state_table.update_for(seen)))
@@ -397,11 +402,11 @@
 
 @SLOPES.enter("known")
 def known_slope(seed=1):
-    """One node that knows 16 to 1,200 others: bytes of a pull in which nothing has moved and of its answer, processor
-    milliseconds of each side, of the bookkeeping before each round of pulls, of one look at a member; memory."""
+    """One node that knows 16 to 1,200 others: bytes of a pull without changes and of its reply, processor milliseconds
+    of each side, of the bookkeeping before each round of pulls, and of one check of a member; memory."""
     rows, points = {}, {}
     for count in KNOWN:
-        (_fleet_kept, node), held = memory_of(lambda count=count: _known(count))
+        (_fleet_kept, node), held = memory_of(lambda count=count: _gateway_knowing(count))
         state_table, members, gossip_client = node.state_table, node.members, node.gossip_client
         row = _pull_cost(state_table, state_table.full_snapshot(gossip_client._source)) | {
             "round ms": round(time_of(lambda: (gossip_client._refresh(), members.gossip_peers("gate"))), 3),
@@ -429,14 +434,14 @@
     ]
 
 
-class _OneEntry:
-    """The entries of one published key, changed by its own controller's commands."""
+class _PublishedKey:
+    """The entries of one published key, changed by the commands of its controller."""
 
     def __init__(self, fleet, key):
         self.node, self.key, self.entries = fleet["gate0"].node.node, key, {}
 
     def run(self, command, arguments):
-        """What the command wrote: key -> packed entry."""
+        """Runs the command; returns its changes: key -> packed entry."""
         view = Transaction(
             self.entries,
             CommandContext(self.node.reactor.seconds(), self.node.members, {}, None, self.node.state_table),
@@ -450,12 +455,12 @@
         return CONTROLLERS.find(self.key.partition("/")[0]).snapshot(view, self.key)
 
     def written(self, changes):
-        """Bytes that go to each voter."""
+        """The bytes of these changes that are sent to each voter."""
         return sum(len(key) + len(value or b"") for key, value in changes.items())
 
 
 def _published(fleet, entry, change):
-    """Costs of one published key and of one change of it."""
+    """The cost of one published key and of one change of it."""
     state_table = StateTable(fleet["gate0"].node.node.reactor)
 
     def publish():
@@ -465,8 +470,8 @@
     publish()
     whole = state_table.full_snapshot(entry.key)
     seen = [idl.SourceVersion(source=entry.key, version=whole.version)]
-    taker = StateTable(fleet["gate0"].node.node.reactor)
-    _, held = memory_of(lambda: taker.merge_snapshots([whole], 0.0))
+    receiver = StateTable(fleet["gate0"].node.node.reactor)
+    _, held = memory_of(lambda: receiver.merge_snapshots([whole], 0.0))
     row = {"whole news B": len(pack(whole)), "held by each node kB": round(held / 1000)}
     began = thread_time()
     changes = change()
@@ -481,13 +486,13 @@
 
 @SLOPES.enter("replicas")
 def replicas_slope(seed=1):
-    """The published list with 10 to 12,000 replicas: its news, what a node holds of it, and what one that is leaving
-    costs the owner, each voter and each node."""
+    """The published list with 10 to 12,000 replicas: the bytes of its gossip, a node's memory for it, and the cost of
+    one leaving replica for the shard leader, each voter and each node."""
     rows, points = {}, {}
     fleet = SimFleet(seed, Size(1, 1, 1, FEW))
     fleet["gate0"].start()
     for count in LISTED:
-        entry = _OneEntry(fleet, REPLICAS_KEY)
+        entry = _PublishedKey(fleet, REPLICAS_KEY)
         entry.run("setList", {"replicas": replica_rows(count)})
         row = _published(fleet, entry, lambda entry=entry: entry.run("markLeaving", {"id": "dalatech-model-00003"}))
         row["platform's answer B"] = len(pack_json({"replicas": replica_rows(count)}))
@@ -502,12 +507,13 @@
 
 @SLOPES.enter("routes")
 def routes_slope(seed=1):
-    """A blueprint of 10 to 5,000 bindings: its news, what a node holds of it, and what the change of one costs."""
+    """A blueprint of 10 to 5,000 bindings: the bytes of its gossip, a node's memory for it, and the cost of the change
+    of one binding."""
     rows, points = {}, {}
     fleet = SimFleet(seed, Size(1, 1, 1, FEW))
     fleet["gate0"].start()
     for count in ROUTES:
-        entry = _OneEntry(fleet, "blueprint/nile")
+        entry = _PublishedKey(fleet, "blueprint/nile")
         entry.run("put", {"changeId": "c1", "basedOn": 0, "blueprint": large_blueprint("nile", "nile-plan-1", count)})
         binding = blueprint_of("nile")["bindings"]["chat"] | {"maxWaitSeconds": 7}
         row = _published(
@@ -530,7 +536,7 @@
 
 
 def _operator_document(routes):
-    """A document in no platform's terms: named routes and a tenth as many named services."""
+    """A document that is specific to no platform: named routes, and a tenth as many named services."""
     return {
         "note": "x",
         "routes": [
@@ -558,13 +564,13 @@
 
 @SLOPES.enter("configuration")
 def configuration_slope(seed=1):
-    """The operator's document with 10 to 13,000 routes: its news, what a node holds of it, and what the change of one
-    costs. The gates' own reading of it, in the platform's terms, is not in it."""
+    """The operator's document with 10 to 13,000 routes: the bytes of its gossip, a node's memory for it, and the cost
+    of the change of one route. It does not include the gateways' parsing of the document for the platform."""
     rows, points = {}, {}
     fleet = SimFleet(seed, Size(1, 1, 1, FEW))
     fleet["gate0"].start()
     for count in CONFIGURED:
-        entry, document = _OneEntry(fleet, ROUTING_KEY), _operator_document(count)
+        entry, document = _PublishedKey(fleet, ROUTING_KEY), _operator_document(count)
         entry.run("put", {"based_on": 0, "version": 1, "fingerprint": "f1", "document": document})
         changed = pieces_of({"routes": [document["routes"][7] | {"tries": 3}]})
         changed = {name: value for name, value in changed.items() if "/" in name}
@@ -583,15 +589,15 @@
 
 @SLOPES.enter("tenants")
 def tenants_slope(seed=1):
-    """10 to 1,300 tenants with a blueprint of four bindings each: bytes of a pull in which nothing has moved and of its
-    answer, processor milliseconds of both sides, and what a node holds."""
+    """10 to 1,300 tenants with a blueprint of four bindings each: bytes of a pull without changes and of its reply,
+    processor milliseconds of both sides, and a node's memory."""
     rows, points = {}, {}
     fleet = SimFleet(seed, Size(1, 1, 1, FEW))
     fleet["gate0"].start()
     for count in TENANTS:
         snapshots = []
         for number in range(count):
-            entry = _OneEntry(fleet, f"blueprint/tenant-{number:04d}")
+            entry = _PublishedKey(fleet, f"blueprint/tenant-{number:04d}")
             entry.run("put", {"changeId": "c1", "basedOn": 0, "blueprint": blueprint_of("nile", "nile-plan-1")})
             source = StateTable(fleet["gate0"].node.node.reactor)
             source.publish(entry.key, fleet["gate0"].node.node.reactor.seconds)
@@ -615,7 +621,7 @@
 
 
 def _budget_commands(gate, number, turns):
-    """(key, command, arguments) of a program whose callers open it first."""
+    """(key, command, arguments) of a program that its clients open first."""
     key = f"budget/nile/g{number}"
     yield key, "open", {"limit": 100000}
     for turn in range(turns):
@@ -631,7 +637,7 @@
 
 
 def _allowance_commands(gate, number, turns):
-    """The same of one whose limit comes with its turns, each turn settled alone."""
+    """The same for a program whose limit is sent with its turns, with each turn settled separately."""
     key = f"allowance/g{number}"
     for turn in range(turns):
         name = f"turn-{number:08d}-{turn:04d}"
@@ -643,7 +649,7 @@
 
 
 def _command_run(seed, kind, voters, at_once, turns):
-    """Admissions and settlings of so many turns each for `at_once` programs side by side, asked by one gate."""
+    """The cost of admitting and settling so many turns each for `at_once` concurrent programs, through one gateway."""
     fleet = _fleet(seed, 1, voters)
     meter = ProcessorMeter(fleet)
     fleet.bring_up()
@@ -659,7 +665,7 @@
         return meter.of(fleet.of_kind("control"))
 
     began_at, busy = fleet.time.now, control_busy()
-    with no_collecting():
+    with without_collecting():
         fleet.run(QUIET)
         idle = (control_busy() - busy) / QUIET
         began_at, busy = fleet.time.now, control_busy()
@@ -686,8 +692,9 @@
 
 @SLOPES.enter("commands")
 def commands_slope(seed=1):
-    """Commands of budgets and allowances with 3 to 15 voters, 50 programs side by side, of 4 turns and of 60 each:
-    messages and bytes to voters, the gate's call, syncs of all disks, processor time of all control nodes, for each."""
+    """Commands of budgets and allowances with 3 to 15 voters, for 50 concurrent programs of 4 and of 60 turns each; per
+    command, messages and bytes to voters, bytes of the gateway's call, syncs of all disks, and processor time of all
+    control nodes."""
     rows, points = {}, {}
     for kind in COMMANDS:
         for turns, several in ((4, VOTERS), (60, (5,))):
@@ -700,11 +707,11 @@
     return rows | {f"{kind}: {what}": show_line(several, "for each voter") for (kind, what), several in points.items()}
 
 
-# --- what is kept -----------------------------------------------------------------
+# --- stored data -----------------------------------------------------------------
 
 
 class DiskRig:
-    """A ring of the daemons' own size on a simulated disk."""
+    """A circular log of the daemons' default size on a simulated disk."""
 
     def __init__(self):
         self.time = SimTime()
@@ -719,7 +726,7 @@
 
 
 def _kept(kind, count):
-    """(bytes in memory of a ring and the voter's table over so many entries, live bytes on its disk)."""
+    """(memory of a circular log and the voter's table with so many entries, live bytes on its disk)."""
     rig = DiskRig()
 
     def build():
@@ -745,7 +752,7 @@
 
 
 def _entries(kind, numbers):
-    """Packed entries as the commands write them."""
+    """The packed entries, as the commands write them."""
     admission = {"print": "x" * 32, "admission": "a" * 32}
     back = {"gate12.0123456789abcdef0123456789abcdef": 7}
     kinds = {
@@ -781,8 +788,8 @@
 
 @SLOPES.enter("kept")
 def kept_slope(_seed=1):
-    """Bytes that one entry of each kind takes on a voter's disk, in a voter's memory (ring and table), and again in
-    the memory of its slot's owner."""
+    """Bytes that one entry of each kind takes on a voter's disk, in a voter's memory (log and table), and in addition
+    in the memory of its shard leader."""
     result = {}
     for kind in (
         "program",
@@ -793,26 +800,26 @@
         "claim",
         "claim with an answer of 2 kB",
     ):
-        on_disk, in_memory, at_owner = [], [], []
+        on_disk, in_memory, at_leader = [], [], []
         for count in KEPT:
             held, live = _kept(kind, count)
             on_disk.append((count, live))
             in_memory.append((count, held))
-            at_owner.append(
+            at_leader.append(
                 (count, memory_of(lambda kind=kind, count=count: SortedDict(_entries(kind, range(count))))[1])
             )
         result[kind] = {
             "disk B": round(line_through(on_disk)[1]),
             "voter B": round(line_through(in_memory)[1]),
-            "owner B": round(line_through(at_owner)[1]),
+            "owner B": round(line_through(at_leader)[1]),
         }
     return result
 
 
 @SLOPES.enter("lines")
-def lines_slope(_seed=1):
-    """Bytes that a line of 1, 10 and 60 turns of 1,500 characters takes in a store's memory and on its disk, and the
-    bytes and processor milliseconds of reading and writing it once."""
+def conversations_slope(_seed=1):
+    """Bytes that a conversation of 1, 10 and 60 turns of 1,500 characters takes in a store's memory and on its disk,
+    its size, and the processor milliseconds of writing it once."""
     rows, points = {}, {"memory B": [], "disk B": [], "write ms": []}
     for turns in (1, 10, 60):
         rig = DiskRig()
@@ -854,7 +861,7 @@
 
 
 def _work_run(seed, request, count=400, programs=40):
-    """`count` requests in `programs` sequences side by side, each of a program of its own."""
+    """The cost of `count` requests in `programs` concurrent sequences, each of a program of its own."""
     fleet = SimFleet(seed, Size(2, 3, 5, FEW), ring_file_size=1 << 22, piece_time=0.01)
     meter = ProcessorMeter(fleet)
     fleet.bring_up()
@@ -871,7 +878,7 @@
 
     fleet.until(open_all())
     fleet.run(2.0)
-    with no_collecting():
+    with without_collecting():
         before, began_at = busy(), fleet.time.now
         fleet.run(QUIET)
         idle = {kind: (now - before[kind]) / (fleet.time.now - began_at) for kind, now in busy().items()}
@@ -887,8 +894,9 @@
 
 @SLOPES.enter("requests")
 def requests_slope(seed=1):
-    """Processor milliseconds that a request takes from all gates, stores and control nodes together, in process: a
-    turn that begins a line, a keyed and an unkeyed plain call. The kernel's part is not in it."""
+    """Processor milliseconds that a request takes on all gateways, stores and control nodes together, in one process:
+    a turn that begins a conversation, and a plain call with and without an idempotency key. The kernel's share is not
+    included."""
     return {
         "turn that begins a line": _work_run(
             seed,
@@ -908,7 +916,7 @@
 
 @MEASURES.enter("capacity")
 def capacity(seed=1):
-    """Slopes for docs/CAPACITY.md, all but the longest; each alone by `oakramp-testbed measure capacity.NAME`."""
+    """The slopes for docs/CAPACITY.md, except the longest; a single one by `oakramp-testbed measure capacity.NAME`."""
     return {
         f"{name}: {what}": value
         for name in SLOPES.names()
--- a/packages/testbed/oakramp/testbed/eviction.py
+++ b/packages/testbed/oakramp/testbed/eviction.py
@@ -1,5 +1,6 @@
-"""Race mornings and pickup rushes on caches that are too small for all prefixes on one replica, though not in all: the
-gates' own balancers and counters, the owner's own decision, engines that keep the real rules."""
+"""Race mornings and pickup rushes whose prefixes are too large for the cache of one replica, but not for all caches
+together. Runs the real balancers and counters of the gateways and the real decision of the shard leader on models of
+the engines."""
 
 import random
 from collections import Counter
@@ -31,22 +32,23 @@
 
 SERVICE = "lm"
 ZONES = ("za", "zb", "zc")
-NEWS_TIME = 0.5  # s; from the owner to the last gate, as `oakramp-testbed measure plans` has it
-BUCKET = 5.0  # s; in which late answers are counted for the end of a trap
-BUCKET_LATE = 0.02  # share of late answers in a bucket; above it the trap is not over
-PATIENCE = 10.0  # s; a request that found no room by then counts as late
-NEVER = 60.0  # s; what an answer that never came counts as
-TAKE_OVER = 4.0  # s; a killed owner's slots are served again by then
-SETTLED = 20.0  # s; after the begin of a rush, by when the plan should be in force
+GOSSIP_TIME = 0.5  # s; from the leader to the last gateway, as `oakramp-testbed measure plans` reports it
+BUCKET = 5.0  # s; interval in which late responses are counted to find the end of a trap
+BUCKET_LATE = 0.02  # share of late responses in a bucket; above it the trap lasts
+QUEUE_TIMEOUT = 10.0  # s; a request without a replica slot by then is late
+NEVER = 60.0  # s; the wait counted for a response that never came
+FAILOVER_TIME = 4.0  # s; the shards of a killed leader are served again by then
+SETTLED = 20.0  # s; from the start of a rush until the plan should be in force
 SEEDS = 5  # runs of each policy and load
-TURN_PAUSE = 1.5  # s; of a program between turns, on average
+TURN_PAUSE = 1.5  # s; mean pause of a program between turns
 POLICIES = Registry("policy")
 
 
 @dataclass(frozen=True)
 class Group:
-    """Tenants of one manner: how many, the prefix that each one's requests share, a request's own tokens, what it puts
-    out, turns of a program, all their programs' starts a second while calm and in the rush."""
+    """Tenants of one kind: their number, the tokens of the prefix that the requests of one tenant share, the further
+    tokens and the output tokens of a request, the turns of a program, and the programs that all of them start per
+    second in normal load and in the rush."""
 
     name: str
     tenants: int
@@ -60,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """One load. `rushes` are (from, to) in seconds; an answer is in time if its first event comes within `wait`."""
+    """One load. `rushes` are (from, to) in seconds; a response is in time if its first event comes within `wait`."""
 
     groups: tuple
     rushes: tuple
@@ -96,7 +98,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     at: float
     group: str
     tenant: str
@@ -105,7 +107,8 @@
 
 @dataclass
 class Site:
-    """One run: replicas, gates, who decides. `answers` has a row a request, `plans` (time, rows) each plan written."""
+    """One run, with its replicas, gateways and planner. `answers` has a row for each request, `plans` has (time, rows)
+    for each new plan."""
 
     scene: Scene
     seed: int
@@ -126,7 +129,7 @@
             self.add_replica(f"r{number}", ZONES[number % len(ZONES)])
         self.window, self.decision, self.previous, self.plan_version, self.mode = Window(), Decision(), {}, 0, "on"
         self.confirmed_at = float("-inf")
-        self.decides = True
+        self.is_planning = True
 
     # --- replicas ---
 
@@ -143,7 +146,7 @@
         self._publish_replicas()
 
     def leave(self, name):
-        """It gets nothing more; what it has goes on to its end."""
+        """The replica gets no more requests; those that it has run to their end."""
         del self.rows[name]
         self._publish_replicas()
 
@@ -171,11 +174,11 @@
         )
 
     def lose_gate(self, number):
-        """What it had begun goes on at the engines; its callers go elsewhere from now on."""
+        """The requests that it has begun continue on the engines; clients use other gateways from now on."""
         self.gates[number].is_up = False
 
     async def call(self, _key, _command, arguments, _time_left):
-        """The owner's `report`."""
+        """Handles a `report` command as the shard leader does."""
         for report in arguments["services"].values():
             self.window.add(self.reactor.seconds(), arguments["gate"], arguments["number"], report)
 
@@ -185,11 +188,11 @@
             SERVICE,
             self.scene.kind.berths,
             0,
-            now + PATIENCE,
+            now + QUEUE_TIMEOUT,
             program,
             frozenset(),
             tenant_of(prefix),
-            now + PATIENCE * PLACEMENT_WAIT_SHARE,
+            now + QUEUE_TIMEOUT * PLACEMENT_WAIT_SHARE,
         )
 
     # --- load ---
@@ -204,7 +207,7 @@
 
     async def _turn(self, group, tenant, program, prefix):
         gate = self.random.choice([one for one in self.gates if one.is_up])
-        answer = Answer(self.reactor.seconds(), group.name, f"{group.name}{tenant}")
+        answer = Response(self.reactor.seconds(), group.name, f"{group.name}{tenant}")
         self.answers.append(answer)
         try:
             instance = await gate.balancer.acquire(self.placement_request(program, prefix))
@@ -224,36 +227,36 @@
         gate.balancer.release(instance)
 
     async def _arrive(self, group):
-        chooser, weights = (
+        random_source, weights = (
             random.Random(f"{self.seed}/{group.name}"),
-            [1 / (place + 1) ** 0.5 for place in range(group.tenants)],
+            [1 / (rank + 1) ** 0.5 for rank in range(group.tenants)],
         )
         while (now := self.reactor.seconds()) < self.scene.seconds:
-            # The clock of a rush begins with it, so that all policies see the same requests begin.
-            await sleep(self.reactor, chooser.expovariate(group.rush if self.scene.is_rush(now) else group.calm))
-            spawn(self._program(group, chooser.choices(range(group.tenants), weights)[0]), self.log)
+            # Arrivals do not depend on responses, so that the same requests begin under all policies.
+            await sleep(self.reactor, random_source.expovariate(group.rush if self.scene.is_rush(now) else group.calm))
+            spawn(self._program(group, random_source.choices(range(group.tenants), weights)[0]), self.log)
 
-    # --- who decides ---
+    # --- planner ---
 
-    async def _decide(self):
+    async def _run_planner(self):
         while True:
             await sleep(self.reactor, EVICTION_ROUND)
             for gate in self.gates:
                 if gate.is_up:
                     ensureDeferred(gate.placement.report())
-            if self.decides:
-                self._round()
+            if self.is_planning:
+                self._plan_once()
 
-    def _round(self):
+    def _plan_once(self):
         now = self.reactor.seconds()
         loads, flow = self.window.loads(now)
         outcome = self.decision.next(loads, flow, self.window.cache_tokens, sorted(self.rows), self.previous)
         if outcome.rows != self.previous:
             self.previous, self.plan_version = outcome.rows, self.plan_version + 1
             self.plans.append((now, outcome.rows))
-        self.reactor.callLater(NEWS_TIME, self._news, now, self.plan_version, outcome.rows)
+        self.reactor.callLater(GOSSIP_TIME, self._publish_plan, now, self.plan_version, outcome.rows)
 
-    def _news(self, at, version, rows):
+    def _publish_plan(self, at, version, rows):
         self.confirmed_at = at
         for state_table in self.state_tables:
             state_table.set_items(
@@ -262,13 +265,13 @@
                 {SERVICE: pack_json({tenant: row["replicas"] for tenant, row in rows.items()})} if rows else {},
             )
 
-    def another_decides(self):
-        """Who decided is gone: after a take-over another one has the plan, and nothing of what was reported."""
-        self.decides = False
-        self.reactor.callLater(TAKE_OVER, self._failover)
+    def lose_planner(self):
+        """The planning leader is lost; after a failover, another one has the plan, but none of the reports."""
+        self.is_planning = False
+        self.reactor.callLater(FAILOVER_TIME, self._failover)
 
     def _failover(self):
-        self.window, self.decision, self.decides = Window(), Decision(), True
+        self.window, self.decision, self.is_planning = Window(), Decision(), True
 
     def run(self, policy, *events):
         """`events` are (time, function(site))."""
@@ -294,7 +297,7 @@
 @POLICIES.enter("with")
 def _with(site):
     site.placement_request = site._placement_request
-    spawn(site._decide(), site.log)
+    spawn(site._run_planner(), site.log)
 
 
 @POLICIES.enter("without")
@@ -310,12 +313,12 @@
 
         def choose(placement_request, balancer=gate.balancer, turns=turns):
             now = site.reactor.seconds()
-            roomy = [
+            with_free_slot = [
                 one
                 for one in balancer.ready_replicas(placement_request.service)
                 if one.load(now) < one.capacity(placement_request.default_slots)
             ]
-            return roomy[next(turns) % len(roomy)] if roomy else None
+            return with_free_slot[next(turns) % len(with_free_slot)] if with_free_slot else None
 
         gate.balancer._select_replica = choose
 
@@ -327,45 +330,50 @@
 
 @POLICIES.enter("prefix affinity")
 def _prefix_affinity(site):
-    """By the balancer's own rule for programs: a tenant leaves its replica when others have clearly more room."""
+    """The balancer's rule for programs, applied to tenants: a tenant leaves its replica when others have clearly more
+    free capacity."""
     site.placement_request = lambda _program, prefix: site._placement_request(tenant_of(prefix), prefix)
 
 
 @POLICIES.enter("strict prefix affinity")
 def _strict_prefix_affinity(site):
-    """A tenant leaves its replica, named by hash over all, only when that is full."""
+    """A tenant leaves its replica, which is chosen by rendezvous hashing, only while that is full."""
     site.placement_request = site._placement_request
     for gate in site.gates:
 
         def choose(placement_request, balancer=gate.balancer):
             now = site.reactor.seconds()
-            roomy = [
+            with_free_slot = [
                 one
                 for one in balancer.ready_replicas(placement_request.service)
                 if one.load(now) < one.capacity(placement_request.default_slots)
             ]
-            return max(roomy, key=lambda one: score(one.row["id"], placement_request.tenant), default=None)
+            return max(with_free_slot, key=lambda one: score(one.row["id"], placement_request.tenant), default=None)
 
         gate.balancer._select_replica = choose
 
 
 @POLICIES.enter("offline bound")
 def _offline_bound(site):
-    """The plan that the planner makes of the rates as they are drawn, in force before the first request."""
+    """The plan that the planner makes from the true rates, in force before the first request."""
     site.placement_request = site._placement_request
     loads = {}
     for group in site.scene.groups:
-        weights = [1 / (place + 1) ** 0.5 for place in range(group.tenants)]
+        weights = [1 / (rank + 1) ** 0.5 for rank in range(group.tenants)]
         tokens = group.common + group.own * (group.turns + 1) / 2
         loads |= {
-            f"{group.name}{place}": Load(
+            f"{group.name}{rank}": Load(
                 100, group.rush * group.turns * weight / sum(weights), 1.0, group.common, tokens, group.own
             )
-            for place, weight in enumerate(weights)
+            for rank, weight in enumerate(weights)
         }
-    crowd = site.scene.groups[0].name
+    tenant_group = site.scene.groups[0].name
     plan, _ = plan_of(
-        loads, {name for name in loads if name.startswith(crowd)}, sorted(site.rows), site.scene.kind.cache_tokens, {}
+        loads,
+        {name for name in loads if name.startswith(tenant_group)},
+        sorted(site.rows),
+        site.scene.kind.cache_tokens,
+        {},
     )
     for gate in site.gates:
         gate.placement.planned_replica_ids = lambda _service, tenant: plan.get(tenant)
@@ -384,7 +392,7 @@
 
 
 def trap_seconds(site, group):
-    """From the begin of each rush to the end of its last bucket with more than BUCKET_LATE late, in seconds."""
+    """Seconds from the start of each rush to the end of its last bucket with a share of more than BUCKET_LATE late."""
     spans = []
     for start, end in site.scene.rushes:
         late = [
@@ -397,24 +405,24 @@
 
 
 def neighbours_of(site):
-    crowd = site.scene.groups[0].name
-    return [one.wait for one in site.answers if one.group != crowd and site.scene.is_rush(one.at)]
+    tenant_group = site.scene.groups[0].name
+    return [one.wait for one in site.answers if one.group != tenant_group and site.scene.is_rush(one.at)]
 
 
 def _share(sites, since):
-    """Of the crowd's answers in rushes, from `since` seconds after the begin of each on, those in time."""
-    crowd = sites[0].scene.groups[0].name
+    """The share in time of the first group's responses in rushes, from `since` seconds after the start of each on."""
+    tenant_group = sites[0].scene.groups[0].name
     waits = [
         one.wait <= site.scene.wait
         for site in sites
         for one in site.answers
-        if one.group == crowd and any(start + since <= one.at < end for start, end in site.scene.rushes)
+        if one.group == tenant_group and any(start + since <= one.at < end for start, end in site.scene.rushes)
     ]
     return round(sum(waits) / max(1, len(waits)), 4)
 
 
 def _row(sites):
-    crowd, near = sites[0].scene.groups[0].name, [wait for site in sites for wait in neighbours_of(site)]
+    tenant_group, near = sites[0].scene.groups[0].name, [wait for site in sites for wait in neighbours_of(site)]
     return {
         "in time, all of the rush": _share(sites, 0.0),
         f"after {SETTLED:g} s of it": _share(sites, SETTLED),
@@ -423,37 +431,35 @@
             sum(engine.tokens_again for site in sites for engine in site.engines.values()) / len(sites)
         ),
         "trap s (shortest, longest)": (
-            min(spans := [span for site in sites for span in trap_seconds(site, crowd)]),
+            min(spans := [span for site in sites for span in trap_seconds(site, tenant_group)]),
             max(spans),
         ),
     }
 
 
 def _ratios(sites, others):
-    """Neighbours' median and 99th against those of the other runs."""
-    mine, theirs = ([wait for site in one for wait in neighbours_of(site)] for one in (sites, others))
-    return tuple(round(percentile(mine, share) / percentile(theirs, share), 3) for share in (0.5, 0.99))
+    """The neighbours' median and 99th percentile, relative to those of the other runs."""
+    own_waits, other_waits = ([wait for site in one for wait in neighbours_of(site)] for one in (sites, others))
+    return tuple(round(percentile(own_waits, share) / percentile(other_waits, share), 3) for share in (0.5, 0.99))
 
 
-TROUBLES = {
+FAULTS = {
     "a replica replaced": (80.0, lambda site: (site.leave("r0"), site.add_replica("r-new", ZONES[0]))),
     "a gate lost": (80.0, lambda site: site.lose_gate(0)),
-    "who decides lost in the trap": (28.0, lambda site: site.another_decides()),
-    "who decides lost later": (80.0, lambda site: site.another_decides()),
+    "who decides lost in the trap": (28.0, lambda site: site.lose_planner()),
+    "who decides lost later": (80.0, lambda site: site.lose_planner()),
 }
 
 
 def measure_eviction(seed=1):
-    """Rows for each load and policy, over SEEDS seeds."""
+    """The rows for each load and policy, over SEEDS seeds."""
     seeds, result = range(seed, seed + SEEDS), {}
     for name, scene in SCENES.items():
         runs = {policy: [Site(scene, one).run(policy) for one in seeds] for policy in POLICIES.names()}
         result |= {f"{name}, {policy}": _row(sites) for policy, sites in runs.items()}
         result[f"{name}, neighbours with / without (median, 99th)"] = _ratios(runs["with"], runs["without"])
-    for trouble, event in TROUBLES.items():
-        result[f"race morning, {trouble}"] = _row(
-            [Site(SCENES["race morning"], one).run("with", event) for one in seeds]
-        )
+    for fault, event in FAULTS.items():
+        result[f"race morning, {fault}"] = _row([Site(SCENES["race morning"], one).run("with", event) for one in seeds])
     for name, scene in CALM.items():
         plans = [len(Site(scene, one).run("with").plans) for one in seeds]
         result[f"{name}: plans made where there is no trap"] = sum(plans)
--- a/packages/testbed/oakramp/testbed/rush_sizing.py
+++ b/packages/testbed/oakramp/testbed/rush_sizing.py
@@ -1,6 +1,7 @@
-"""What orders of replicas earn and cost in a rush, in the model of `oakramp.testbed.rush`: never, all, or by demand.
+"""Benefit and cost of autoscaling policies in a rush, in the model of `oakramp.testbed.rush`: never, maximum, or by
+demand.
 
-Replicas are started and closed while the scene goes on. A replica is paid from its order to its end.
+Replicas are started and drained while the scene runs. A replica is paid for from its order to its end.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 from oakramp.testbed.engine import Engine
 from oakramp.testbed.rush import ENGINE, POLICIES, SERVICE, ZONES, Scene, Site, replica_row
 
-LIST_LAG_S = 0.8  # until gateways know of a change
-CLOSING_S = 5.0  # that a replica serves on after it was listed as closing
+LIST_LAG_S = 0.8  # until gateways know a change of the replica list
+DRAIN_S = 5.0  # for which a replica continues to serve after it was listed as leaving
 REPLICA_RANGE = ReplicaRange(least=1, most=6, boot_s=4.0)
 SIZING_SCENES = {
     "a rush": Scene(rate=20, rush_rate=60, rush_from=60.0, rush_to=120.0, seconds=300.0, replicas=6),
@@ -26,8 +27,8 @@
 
 @dataclass
 class SizedSite(Site):
-    """One run. Invariants: `states` has the zone and state of each replica that is paid: starting, ready or leaving;
-    `replica_seconds` is what was paid so far."""
+    """One run. Invariants: `states` has the zone and state (starting, ready or leaving) of each replica that is paid
+    for; `replica_seconds` is the cost so far."""
 
     orders: str = "never"
     states: dict[str, tuple[str, str]] = field(default_factory=dict)
@@ -87,7 +88,7 @@
 
     async def _close(self, name: str, zone: str) -> None:
         self._list(name, (zone, "leaving"))
-        await sleep(self.reactor, CLOSING_S)
+        await sleep(self.reactor, DRAIN_S)
         self._list(name, None)
 
     def _list(self, name: str, state: tuple[str, str] | None) -> None:
@@ -106,7 +107,7 @@
 
 
 def play_orders(orders: str, scene: Scene, seed: int) -> SizedSite:
-    """One run of an order policy, with the gateways' own balancing."""
+    """One run of an autoscaling policy, with the gateways' real balancing."""
     site = SizedSite(scene, seed, orders=orders)
     site.run()
     return site
