--- a/packages/testbed/oakramp/testbed/explore/clock.py
+++ b/packages/testbed/oakramp/testbed/explore/clock.py
@@ -55,7 +55,7 @@
         return min(self._timers, key=lambda timer: (timer.due, timer.order))
 
     def fire_short(self):
-        """Fires the due timers that were set with at most STEP_PAUSE of delay; returns whether there was one."""
+        """Fires the due timers that were set with at most APPEND_BATCH_DELAY of delay; whether there was one."""
         due = [timer for timer in self._timers if timer.is_short and timer.active() and timer.due <= self._world.now]
         if self.stopped or not due:
             return False
