--- a/packages/storage/oakramp/storage/disk_check.py
+++ b/packages/storage/oakramp/storage/disk_check.py
@@ -1,4 +1,4 @@
-"""Looks at the files of a ring offline, and changes nothing."""
+"""Checks the files of a ring offline, without changing them."""
 
 import os
 import re
@@ -10,14 +10,14 @@
 from oakramp.storage.log_format import LAP_SIZE, lap_header
 
 RING_FILE = re.compile(r"ring\.(\d{3})")
-DEFAULT_FILE_SIZE = 4096  # bytes; for a folder without any ring file, of which nothing is read
+DEFAULT_FILE_SIZE = 4096  # bytes; if the first ring file is empty
 
 
 class ReadOnlyDisk:
-    """The folder as a ring wants to see it. What a start would write is noted, and not done.
+    """The disk interface that a ring expects, on a folder. Records what a start would write, without writing it.
 
-    Invariant: a ring writes only after it has read and accepted everything, so that it need not read back what it
-    wrote."""
+    Invariant: a ring writes only after it has read and accepted everything, so it never needs to read back its own
+    writes."""
 
     def __init__(self, folder, file_size):
         self._folder, self._file_size = folder, file_size
@@ -49,7 +49,7 @@
         self.would_make.append(name)
 
     def write(self, name, offset, data):
-        """Notes what a start would overwrite with something else; nothing is written."""
+        """Records a write that would change the content of a file; nothing is written."""
         if name not in self.would_make and self.read_at(name, offset, len(data)) != data:
             self.would_wipe.append((name, offset, len(data)))
 
@@ -59,7 +59,8 @@
 
 @dataclass
 class LogReport:
-    """What a start would find. `damage` is why it would be refused, or None; `notes` are what it would say and do."""
+    """What a start would find. `damage` is the reason why the start would fail, or None; `notes` are what it would log
+    and do."""
 
     file_size: int = 0
     laps: list = field(default_factory=list)  # (file, lap, first number, number synced before it)
@@ -71,7 +72,7 @@
 
 
 def check_ring(folder):
-    """A RingReport of this folder, or None if no file of a ring is in it."""
+    """A LogReport of this folder, or None if it holds no ring files."""
     numbers = sorted(int(found[1]) for name in os.listdir(folder) if (found := RING_FILE.fullmatch(name)))
     if not numbers:
         return None
@@ -86,9 +87,9 @@
         return report
     report.entries, report.live_bytes = len(ring.table), ring.live_bytes()
     report.newest_record = ring.newest_record
-    report.notes += [f"{name} would be made: a first start was cut off" for name in disk.would_make]
+    report.notes += [f"{name} would be created: a first start was interrupted" for name in disk.would_make]
     report.notes += [
-        f"{length} bytes of {name} at {offset} would be wiped: no commit that was confirmed is in them"
+        f"{length} bytes of {name} at {offset} would be wiped: they hold no confirmed commit"
         for name, offset, length in disk.would_wipe
     ]
     return report
--- a/packages/storage/oakramp/storage/log_format.py
+++ b/packages/storage/oakramp/storage/log_format.py
@@ -1,8 +1,8 @@
-"""The bytes of a circular log's files.
+"""The file format of a circular log.
 
 Lap:    header = marker, version, lap, first number, synced number, checksum, then records.
 Record: marker, lap, length, checksum, number, synced number, then the batch.
-Batch:  for each entry key length, value length (0xffffffff: removed), key, value.
+Batch:  for each entry: key length, value length (0xffffffff: removed), key, value.
 
 The `synced number` is the newest record known to be on disk when this one was written.
 """
@@ -16,14 +16,14 @@
 
 from oakramp.common.constants import RING_VERSION
 
-RING_PREFIX = "ring."  # what the names of a ring's files begin with
+RING_PREFIX = "ring."  # prefix of the names of a ring's files
 LAP_MARK = b"OAKRING\0"
 LAP = struct.Struct("<8sIQQQ")
 LAP_SIZE = LAP.size + 4
 RECORD_MARK = b"\xa7oak"
 RECORD = struct.Struct("<4sIIIQQ")
-LAP_NUMBER_SIZE = 4  # bytes, right behind the marker
-SUMMED_FROM = 16
+LAP_NUMBER_SIZE = 4  # bytes, directly after the marker
+CHECKSUM_START = 16
 ENTRY = struct.Struct("<II")
 REMOVED = 0xFFFFFFFF
 
@@ -52,7 +52,7 @@
 
 
 class LapHeader(NamedTuple):
-    """What a lap's file begins with."""
+    """The header at the start of a lap's file."""
 
     version: int
     lap: int
@@ -61,7 +61,7 @@
 
 
 def lap_header(data: bytes) -> LapHeader | None:
-    """The LapHeader at the beginning of a file, or None if there is none that is whole."""
+    """The LapHeader at the beginning of a file, or None if it is missing or its checksum differs."""
     if len(data) < LAP_SIZE:
         return None
     mark, *values = LAP.unpack_from(data)
@@ -77,7 +77,7 @@
 
 
 class LogRecord(NamedTuple):
-    """A record as it stands in a lap's file; `end` is the offset behind it."""
+    """A record as stored in a lap's file; `end` is the offset of the first byte after it."""
 
     number: int
     synced_number: int
@@ -86,33 +86,33 @@
 
 
 def read_record(data: bytes, lap: int, offset: int) -> LogRecord | None:
-    """The whole record of this lap at this place, or None."""
+    """The record of this lap at this offset, or None if there is none or it is not intact."""
     if offset + RECORD.size > len(data):
         return None
     mark, record_lap, length, checksum, number, synced_number = RECORD.unpack_from(data, offset)
     end = offset + RECORD.size + length
     if mark != RECORD_MARK or record_lap != lap & 0xFFFFFFFF or end > len(data):
         return None
-    if zlib.crc32(data[offset + SUMMED_FROM : end]) != checksum:
+    if zlib.crc32(data[offset + CHECKSUM_START : end]) != checksum:
         return None
     return LogRecord(number, synced_number, data[offset + RECORD.size : end], end)
 
 
 def record_mark(lap: int) -> bytes:
-    """What each record of this lap begins with."""
+    """The bytes with which each record of this lap begins: the marker and the lap."""
     return RECORD_MARK + struct.pack("<I", lap & 0xFFFFFFFF)
 
 
 def _end_of_marks(data: bytes, offset: int) -> int:
     """The end of the last mark of any lap's record past this offset.
 
-    What follows is mostly zeros, and a search for one lap's mark, which itself is mostly zeros, is twenty times slower
-    in them than this one."""
+    The rest of the file is mostly zeros, and in zeros a search for one lap's mark, which is mostly zeros itself, is
+    twenty times slower than this one."""
     return data.rfind(RECORD_MARK, offset) + len(RECORD_MARK) + LAP_NUMBER_SIZE
 
 
 def records_after(data: bytes, lap: int, offset: int) -> Iterator[LogRecord]:
-    """Every whole record of this lap at or past an unreadable place."""
+    """Every intact record of this lap at or past this offset, where the record is unreadable."""
     mark, end = record_mark(lap), _end_of_marks(data, offset)
     place = data.find(mark, offset, end)
     while place >= 0:
@@ -123,6 +123,6 @@
 
 
 def left_over_of(data: bytes, lap: int, offset: int) -> dict[int, tuple[int, int]]:
-    """{lap: (offset, end)} up to the end of what begins like the last record of this lap; empty if there is none."""
+    """{lap: (offset, end)}: the range up to the end of the last header with this lap's mark; empty if there is none."""
     last = data.rfind(record_mark(lap), offset, _end_of_marks(data, offset))
     return {} if last < 0 else {lap: (offset, min(last + RECORD.size, len(data)))}
--- a/packages/storage/oakramp/storage/log_table.py
+++ b/packages/storage/oakramp/storage/log_table.py
@@ -7,11 +7,13 @@
 from oakramp.common.errors import StorageCorruptedError
 
 COLD_FROM = 1 << 10  # bytes; shorter values are always in memory
-COLD_HEAD = 1 << 9  # bytes; of a longer one that are at hand: enough for what a user's header takes
+COLD_HEAD = (
+    1 << 9
+)  # bytes of a longer value that are kept in memory: enough for the header that a user of the table stores
 
 
 class ColdValue:
-    """A value that is read from its file when it is asked for; its first bytes are at hand."""
+    """A value that is read from its file on access; its first bytes are kept in memory."""
 
     __slots__ = ("file_name", "offset", "length", "head", "checksum")
 
@@ -20,18 +22,18 @@
         self.head, self.checksum = value[:COLD_HEAD], zlib.crc32(value)
 
     def read(self, disk):
-        """The value from its file. Raises StorageCorruptedError if its checksum differs."""
+        """Reads the value from its file. Raises StorageCorruptedError if its checksum differs."""
         value = disk.read_at(self.file_name, self.offset, self.length)
         if zlib.crc32(value) != self.checksum:
             raise StorageCorruptedError(
-                f"{self.length} bytes at {self.offset} of {self.file_name} are not what was written there"
+                f"{self.length} bytes at {self.offset} of {self.file_name} do not match the checksum of the write"
             )
         return value
 
 
 class Table:
-    """The entries of a ring as its users see them. Invariant: with `hot_bytes` given, values of COLD_FROM bytes and
-    more are kept on the disk, and of them only those used last, of so many bytes together, in memory too."""
+    """The entries of a ring as its users see them. Invariant: if `hot_bytes` is given, values of COLD_FROM bytes and
+    more are kept on the disk, and at most `hot_bytes` of the most recently used ones are cached in memory too."""
 
     def __init__(self, disk, hot_bytes=None):
         self._disk, self._rows = disk, {}
@@ -55,7 +57,7 @@
         hot = self._hot.get(key)
         if hot is None:
             hot = value.read(self._disk)
-            self._warm(key, hot)
+            self._cache_value(key, hot)
         return hot
 
     def get(self, key, default=None):
@@ -78,20 +80,20 @@
         )
 
     def enter(self, key, value, file_name, offset):
-        """Sets a key to a value that stands at this offset of this file; a long one is kept in memory only while it
-        is hot."""
-        self.pop(key)  # what was hot of it is out of date
+        """Sets a key to a value that is stored at this offset of this file; a long value is kept in memory only while
+        it is hot, that is among the most recently used."""
+        self.pop(key)  # a cached former value is stale
         if self._hot is None or len(value) < COLD_FROM:
             self._rows[key] = value
             return
         self._rows[key] = ColdValue(file_name, offset, value)
-        self._warm(key, value)
+        self._cache_value(key, value)
 
     def stored(self, key):
-        """What stands for the key's value here: its bytes, a ColdValue, or None if there is no such key."""
+        """The stored form of the key's value: its bytes, a ColdValue, or None if there is no such key."""
         return self._rows.get(key)
 
-    def _warm(self, key, value):
+    def _cache_value(self, key, value):
         if len(value) <= self._hot.maxsize:
             self._hot[key] = value
 
--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -109,7 +109,7 @@
     CodeMutation(
         "a failed write is told by the next sync",
         "storage/oakramp/storage/disk.py",
-        "                    write_errors.setdefault(order.handle, error)",
+        "                    write_errors.setdefault(request.handle, error)",
         "                    pass",
         "test_disk.StalledDisk.test_a_write_that_fails_is_told_by_the_next_sync",
     ),
@@ -1207,7 +1207,7 @@
     CodeMutation(
         "missing ring files",
         "storage/oakramp/storage/circular_log.py",
-        "if heads and missing:",
+        "if headers and missing:",
         "if False:",
         "test_ring.RingTest.test_swapped_or_missing_files_are_not_silent",
     ),
