--- a/packages/store/oakramp/store/daemon.py
+++ b/packages/store/oakramp/store/daemon.py
@@ -6,7 +6,7 @@
 
 
 def main():
-    """Runs a store with the settings of the command line."""
+    """Runs a store node with the settings given on the command line."""
     run_daemon(
-        "oakramp-store", DISK_SETTINGS, "A store node of oakramp: keeps the history of program lines.", StoreNode
+        "oakramp-store", DISK_SETTINGS, "A store node of oakramp: stores the turn history of conversations.", StoreNode
     )
--- a/packages/store/oakramp/store/store_client.py
+++ b/packages/store/oakramp/store/store_client.py
@@ -1,7 +1,7 @@
-"""Calls from a gate to stores, held back from a store that just failed.
+"""Calls from a gateway to stores, with backoff for a store that has just failed.
 
-Without this, each waiting request asks each store that refuses again every few milliseconds: that costs the gate more
-than its work does, and the store the time in which it would start.
+Without the backoff, each waiting request would retry each store that rejects calls every few milliseconds: that costs
+the gateway more than its actual work, and takes from the store the time in which it would start.
 """
 
 from collections import Counter
@@ -15,18 +15,18 @@
     OutcomeUnknownError,
     OverloadedError,
     StaleEpochError,
-)  # said of the store, and not of what was asked
+)  # errors that concern the store, not the individual call
 
 
 class CallHeldBackError(UnreachableError):
-    """Nothing was sent: this store failed a moment ago."""
+    """The call was not sent, because the store failed a moment ago."""
 
     code = "heldBack"
 
 
 @dataclass
-class _Failing:
-    """A store that fails since `since`, and to which nothing is sent before `until`."""
+class _FailingStore:
+    """A failing store: its last counted failure was at `since`, and no call is sent to it before `until`."""
 
     since: float
     until: float
@@ -35,9 +35,11 @@
 
 
 class StoreClient:
-    """Invariant: a store is in `_failing` from a call that failed until the next one that succeeds. While it is, one
-    call goes through after each pause, and the pause doubles up to STORE_BACKOFF_MAX as long as these fail. One log
-    line tells when it begins, and one when it ends."""
+    """Calls stores, with backoff for each store that fails.
+
+    Invariant: a store is in `_failing` from a call that failed until the next one that succeeds. Meanwhile one call is
+    sent after each pause, and the pause doubles up to STORE_BACKOFF_MAX as long as these calls fail. The begin and the
+    end of this state are logged once each."""
 
     def __init__(self, node):
         self._node, self._reactor = node, node.reactor
@@ -45,13 +47,13 @@
         self.counts = Counter()  # calls by outcome: answered, refused, failed, held_back
 
     def show(self, metrics):
-        """Enters the counts of calls by outcome, and of stores that fail now."""
+        """Registers the metrics: calls by outcome, and the number of stores that fail at present."""
         for outcome in "answered", "refused", "failed", "held_back":
             metrics.gauge("store_calls", lambda outcome=outcome: self.counts[outcome], outcome=outcome)
         metrics.gauge("stores_failing", lambda: len(self._failing))
 
     def is_held(self, node_id):
-        """Whether a call to this store would be held back; counted as one that was."""
+        """Whether a call to this store would be held back at present; if so, it is counted as held back."""
         failing = self._failing.get(node_id)
         if failing is None or self._reactor.seconds() >= failing.until:
             return False
@@ -60,46 +62,46 @@
         return True
 
     async def call(self, node_id, peer, method, time_left, **arguments):
-        """The store's answer. CallHeldBackError, a no, if the store failed just now."""
+        """The store's reply. Raises CallHeldBackError, without sending the call, if the store has just failed."""
         if self.is_held(node_id):
-            raise CallHeldBackError(f"{node_id} failed just now")
+            raise CallHeldBackError(f"{node_id} has just failed; the call was not sent")
         began = self._reactor.seconds()
-        if node_id in self._failing:  # this call goes through, and no other until it is over or late
-            self._failing[node_id].until = began + self._drawn(self._failing[node_id].pause)
+        if node_id in self._failing:  # this call is sent; the next only after it has ended or the pause is over
+            self._failing[node_id].until = began + self._with_jitter(self._failing[node_id].pause)
         try:
-            answer = await self._node.net.call(peer, method, time_left, to=node_id, **arguments)
+            reply = await self._node.net.call(peer, method, time_left, to=node_id, **arguments)
         except OakrampError as error:
-            self._failed(node_id, error, began, time_left)
+            self._record_failure(node_id, error, began, time_left)
             raise
         self.counts["answered"] += 1
-        self._works(node_id)
-        return answer
+        self._record_success(node_id)
+        return reply
 
     def forget(self):
-        """The set has changed: what a store refused before, it may do now."""
+        """Ends the pauses because the set of stores has changed: a store may now accept what it rejected before."""
         for failing in self._failing.values():
             failing.until, failing.pause = self._reactor.seconds(), STORE_BACKOFF
 
-    def _failed(self, node_id, error, began, time_left):
+    def _record_failure(self, node_id, error, began, time_left):
         now = self._reactor.seconds()
         ran_out = now - began >= time_left and time_left < STORE_CALL_TIME
         if not isinstance(error, STORE_FAILURES) or ran_out:
-            self.counts["refused"] += 1  # it says nothing of the store, or too little time was left for an answer
+            self.counts["refused"] += 1  # this says nothing about the store, or too little time was left for a reply
             return
         self.counts["failed"] += 1
         failing = self._failing.get(node_id)
         if failing is None:
-            self._failing[node_id] = _Failing(now, now + self._drawn(STORE_BACKOFF), STORE_BACKOFF)
+            self._failing[node_id] = _FailingStore(now, now + self._with_jitter(STORE_BACKOFF), STORE_BACKOFF)
             self._node.log.warning("store_calls_failing", store=node_id, reason=error.reason)
-        elif began >= failing.since:  # else one of several that were under way together
+        elif began >= failing.since:  # otherwise one of several calls that were in flight together
             failing.pause = min(2 * failing.pause, STORE_BACKOFF_MAX)
-            failing.since, failing.until = now, now + self._drawn(failing.pause)
+            failing.since, failing.until = now, now + self._with_jitter(failing.pause)
 
-    def _drawn(self, pause):
-        """Between half of it and all: gates that saw the same failure do not come back together."""
+    def _with_jitter(self, pause):
+        """The pause with jitter, from half of it to all: gateways that saw the same failure must not retry together."""
         return pause * (0.5 + 0.5 * self._node.random.random())
 
-    def _works(self, node_id):
+    def _record_success(self, node_id):
         failing = self._failing.pop(node_id, None)
         if failing is not None:
             self._node.log.info("store_calls_recovered", store=node_id, held_back=failing.held_back)
