--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1132,14 +1132,14 @@
         "store/oakramp/store/store_client.py",
         "if failing is None or self._reactor.seconds() >= failing.until:",
         "if True:",
-        "test_store_calls.Storm.test_requests_that_wait_for_stores_do_not_storm_them",
+        "test_store_calls.RetryStormTest.test_waiting_requests_do_not_overload_stores_with_retries",
     ),
     CodeMutation(
         "one call goes through after a pause",
         "store/oakramp/store/store_client.py",
         "if node_id in self._failing:  #",
         "if False:  #",
-        "test_store_calls.StoreCallsTest.test_one_call_goes_through_after_a_pause",
+        "test_store_calls.StoreCallsTest.test_one_call_is_sent_after_a_pause",
     ),
     CodeMutation(
         "calls that fail together lengthen the pause once",
