--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -1076,7 +1076,7 @@
         "storage/oakramp/storage/circular_log.py",
         "        await self._sync()\n        if not",
         "        if not",
-        "test_ring.RingTest.test_power_cut_anywhere_keeps_what_was_confirmed",
+        "test_ring.RingTest.test_confirmed_commits_survive_a_power_loss_at_any_point",
     ),
     CodeMutation(
         "a lap is synced before the next is begun",
@@ -1118,7 +1118,7 @@
         "storage/oakramp/storage/circular_log.py",
         "& 0xFFFFFFFF and length > 0",
         "& 0xFFFFFFFF and False",
-        "test_ring.PowerLossTest.test_any_other_record_that_a_lap_lacks_is_damage",
+        "test_ring.PowerLossTest.test_any_other_missing_record_is_corruption",
     ),
     CodeMutation(
         "a node whose disk is damaged stays",
@@ -1202,21 +1202,21 @@
         "storage/oakramp/storage/circular_log.py",
         "if self._file_name(header.lap) != name:",
         "if False:",
-        "test_ring.RingTest.test_swapped_or_missing_files_are_not_silent",
+        "test_ring.RingTest.test_swapped_truncated_or_missing_files_are_reported",
     ),
     CodeMutation(
         "missing ring files",
         "storage/oakramp/storage/circular_log.py",
         "if headers and missing:",
         "if False:",
-        "test_ring.RingTest.test_swapped_or_missing_files_are_not_silent",
+        "test_ring.RingTest.test_swapped_truncated_or_missing_files_are_reported",
     ),
     CodeMutation(
         "damage told from a torn tail",
         "storage/oakramp/storage/circular_log.py",
         "            if record.synced_number > self._number:\n",
         "            if False:\n",
-        "test_ring.RingTest.test_damage_in_synced_part_is_not_silent",
+        "test_ring.RingTest.test_corruption_of_synced_records_fails_the_start",
     ),
     CodeMutation(
         "read quorum of stores",
