--- a/packages/gossip/oakramp/gossip/gossip_client.py
+++ b/packages/gossip/oakramp/gossip/gossip_client.py
@@ -73,7 +73,7 @@
         self._me = member
         self._publish()
 
-    def tell(self, name, value):
+    def publish_item(self, name, value):
         """Publishes an item (bytes) beside this node's own row, or removes it (None)."""
         self._extra_items = {key: kept for key, kept in (self._extra_items | {name: value}).items() if kept is not None}
         self._publish()
--- a/packages/store/oakramp/store/store_node.py
+++ b/packages/store/oakramp/store/store_node.py
@@ -492,7 +492,7 @@
         self._is_stopping = True
         if self._starting_over is not None:
             await self._starting_over
-        await self.node.gossip_client.say_leaving()
+        await self.node.gossip_client.announce_leaving()
         await self._wait_for_replacement()
         await self.web.stop()
         self.store.stop()
