--- a/packages/testbed/oakramp/testbed/code_mutations.py
+++ b/packages/testbed/oakramp/testbed/code_mutations.py
@@ -881,7 +881,7 @@
         "control/oakramp/control/membership_repair.py",
         "        if voting_config is not None:\n            state_table.set_items",
         "        if False:\n            state_table.set_items",
-        "test_explore.RosterKeptByOne.test_kept_voting_config_is_told_in_the_news_again",
+        "test_explore.VotingConfigurationStoredByOneNode.test_a_stored_voting_configuration_is_published_again_after_a_restart",
     ),
     CodeMutation(
         "a voter that left the roster is asked no more",
